--- a/borageworks/gateway/acceptor.py
+++ b/borageworks/gateway/acceptor.py
@@ -1,4 +1,4 @@
-"""Accepts callers' connections, however busy the loop is."""
+"""Listening socket for callers that stays responsive on a busy event loop."""
 
 from __future__ import annotations
 
@@ -11,27 +11,27 @@
 from borageworks.metrics import Metrics
 from borageworks.timers import Subscription, Timers
 
-# A second's worth of a busy instance. Callers give up connections that wait longer, and
-# those are still accepted before newer ones.
-BACKLOG = 128
-# A busy instance took no new connection for seconds although its loop was not late, so
-# that the queue is also looked at by time.
-INTERVAL_S = 0.05
-# Bounds one turn of the loop.
-ACCEPTS_PER_TURN = 64
-# Time without accepting after the process ran out of file descriptors.
-PAUSE_S = 0.1
+# About one second of connections to a busy instance. With a longer queue, connections
+# that callers have already abandoned would be accepted before newer ones.
+LISTEN_BACKLOG = 128
+# Readiness events alone left new connections waiting for seconds on a busy instance
+# without loop lag, so the listening socket is also polled.
+POLL_INTERVAL_S = 0.05
+# Keeps one call from blocking the event loop.
+MAX_ACCEPTS_PER_POLL = 64
+# Backoff after a failed accept, such as when no file descriptors are left.
+ACCEPT_BACKOFF_S = 0.1
 
 
 class Acceptor:
-    """Accepts callers' connections, however busy the loop is.
+    """Accepts callers' connections even if the event loop is overloaded.
 
     Parameters
     ----------
     address
         Address to listen on.
-    connect
-        Returns the protocol of a new connection.
+    protocol_factory
+        Creates the protocol of a new connection.
     metrics
         Counts connections that could not be accepted, by reason.
     """
@@ -39,40 +39,40 @@
     def __init__(
         self,
         address: HostPort,
-        connect: Callable[[], asyncio.BaseProtocol],
+        protocol_factory: Callable[[], asyncio.BaseProtocol],
         metrics: Metrics,
     ) -> None:
         self._address = address
-        self._connect = connect
+        self._protocol_factory = protocol_factory
         self._metrics = metrics
         self._loop = asyncio.get_running_loop()
         self._socket: socket.socket | None = None
-        self._polling: Subscription | None = None
-        self._paused_until = 0.0
+        self._poll_timer: Subscription | None = None
+        self._backoff_until = 0.0
         self._tasks: set[asyncio.Task[object]] = set()
 
     def start(self) -> None:
-        """Listen."""
-        listener = socket.create_server(self._address, backlog=BACKLOG)
+        """Start listening."""
+        listener = socket.create_server(self._address, backlog=LISTEN_BACKLOG)
         listener.setblocking(False)
         self._socket = listener
         self._loop.add_reader(listener, self._accept)
-        self._polling = Timers().every(INTERVAL_S, lambda _now: self._accept())
+        self._poll_timer = Timers().every(POLL_INTERVAL_S, lambda _now: self._accept())
 
     def stop(self) -> None:
-        """Close the listening socket; open connections go on."""
+        """Close the listening socket; open connections stay open."""
         if self._socket is None:
             return
-        if self._polling is not None:
-            self._polling.cancel()
+        if self._poll_timer is not None:
+            self._poll_timer.cancel()
         self._loop.remove_reader(self._socket)
         self._socket.close()
         self._socket = None
 
     def _accept(self) -> None:
-        if self._socket is None or self._loop.time() < self._paused_until:
+        if self._socket is None or self._loop.time() < self._backoff_until:
             return
-        for _ in range(ACCEPTS_PER_TURN):
+        for _ in range(MAX_ACCEPTS_PER_POLL):
             try:
                 connection, _ = self._socket.accept()
             except BlockingIOError:
@@ -80,30 +80,34 @@
             except ConnectionAbortedError:
                 continue
             except OSError as error:
-                self._pause(error)
+                self._back_off(error)
                 return
             connection.setblocking(False)
-            task = self._loop.create_task(self._open(connection))
+            task = self._loop.create_task(self._open_connection(connection))
             self._tasks.add(task)
             task.add_done_callback(self._tasks.discard)
 
-    def _pause(self, error: OSError) -> None:
-        """Wait for descriptors to become free; the socket stays readable meanwhile."""
+    def _back_off(self, error: OSError) -> None:
+        """Stop accepting for a while, until file descriptors may be free.
+
+        The socket remains readable meanwhile, so its reader is removed to keep the
+        event loop from spinning.
+        """
         assert self._socket is not None
         self._metrics.count("connections_not_accepted", type(error).__name__)
         emit(Event.ACCEPT_FAILED, error=repr(error))
-        self._paused_until = self._loop.time() + PAUSE_S
+        self._backoff_until = self._loop.time() + ACCEPT_BACKOFF_S
         self._loop.remove_reader(self._socket)
-        self._loop.call_later(PAUSE_S, self._resume)
+        self._loop.call_later(ACCEPT_BACKOFF_S, self._resume)
 
     def _resume(self) -> None:
         if self._socket is not None:
             self._loop.add_reader(self._socket, self._accept)
 
-    async def _open(self, connection: socket.socket) -> None:
+    async def _open_connection(self, connection: socket.socket) -> None:
         try:
-            await self._loop.connect_accepted_socket(self._connect, connection)
+            await self._loop.connect_accepted_socket(self._protocol_factory, connection)
         except OSError as error:
-            # The caller has left meanwhile.
+            # The caller has closed the connection meanwhile.
             self._metrics.count("connections_not_accepted", type(error).__name__)
             connection.close()
--- a/borageworks/gateway/admission.py
+++ b/borageworks/gateway/admission.py
@@ -1,4 +1,4 @@
-"""Decides which requests an overloaded instance takes."""
+"""Admission control of an overloaded instance."""
 
 from __future__ import annotations
 
@@ -6,181 +6,188 @@
 from dataclasses import dataclass
 
 from borageworks.events import Event, emit
-from borageworks.gateway.loop_lag import INTERVAL_S, LoopLag
+from borageworks.gateway.loop_lag import MEASURE_INTERVAL_S, LoopLag
 from borageworks.timers import Subscription, Timers
 
-# The limit is lowered to this part while the loop lags, and not again before this time
-# has passed: what was taken before has to be worked off first.
-LOWERED_PART = 0.7
-LOWERING_PAUSE_S = 0.3
-# It is doubled in this time while the loop keeps up. A limit that is too low costs
-# callers more than a short overshoot.
-DOUBLING_S = 0.5
-# Rates are means over about this time, long enough to see organisations that ask for
-# one request a second.
-RATE_MEMORY_S = 1.0
-# Requests that an organisation may send at once, as a time at its limit. Those that
-# came while the loop was late are taken together.
-BURST_S = 0.5
-# No organisation is held to less, in requests a second.
-LEAST_LEVEL = 0.05
-# A limit that is this many times the largest rate asked for limits nobody.
-RELEASE_RATIO = 1.5
-# An overload or refusals of this length are no burst: only fewer callers help.
-LASTING_S = 1.0
-# Pauses up to this length do not end it: each refusal relieves the loop for a moment.
-CALM_S = 1.0
-# Refusing less than this part of the requests is no reason to send callers elsewhere.
-REFUSED_PART = 0.05
-# Organisations that ask for less, in requests a second, are forgotten.
-FORGOTTEN_RATE = 0.001
+# While the loop lags, the limit is multiplied by the ratio once per interval: the next
+# decrease waits until requests admitted before the last one have been processed.
+DECREASE_RATIO = 0.7
+DECREASE_INTERVAL_S = 0.3
+# The limit doubles in this time while the loop does not lag. Recovery is fast because a
+# limit that is too low costs callers more than a short overshoot.
+DOUBLING_TIME_S = 0.5
+# Time constant of the moving averages of request rates, long enough to track
+# organisations that send one request a second.
+RATE_TIME_CONSTANT_S = 1.0
+# Token bucket size of an organisation, in seconds at its limit. Requests that arrive
+# while the loop lags are processed as one burst.
+BURST_ALLOWANCE_S = 0.5
+MIN_LIMIT_PER_S = 0.05
+# The limit is removed when it exceeds the highest request rate by this factor.
+LIMIT_REMOVAL_RATIO = 1.5
+# Overload or refusals that last this long are no burst: new callers have to connect to
+# other instances.
+SUSTAINED_OVERLOAD_S = 1.0
+# Gaps up to this length do not end an overload: refusals relieve the loop for a moment.
+MAX_OVERLOAD_GAP_S = 1.0
+# Below this ratio of refused requests, callers need not connect to other instances.
+MIN_REFUSAL_RATIO = 0.05
+# Organisations with a lower request rate are no longer tracked.
+MIN_TRACKED_PER_S = 0.001
 
 
 @dataclass(slots=True)
-class _Use:
-    """Requests of one organisation: asked for lately, and what it may send at once."""
+class _OrganisationState:
+    """Request rates and token bucket of one organisation."""
 
-    asked: float = 0.0
-    taken: float = 0.0
+    requested: float = 0.0
+    admitted: float = 0.0
     refused: float = 0.0
-    at: float = -math.inf
+    updated_at: float = -math.inf
     tokens: float = 1.0
 
-    def advance(self, now: float, level: float) -> None:
-        """Let time pass at a limit in requests a second."""
-        passed = now - self.at
-        faded = math.exp(-passed / RATE_MEMORY_S)
-        self.asked *= faded
-        self.taken *= faded
-        self.refused *= faded
-        self.at = now
-        burst = max(level * BURST_S, 1.0)
-        refilled = level * passed if math.isfinite(level) else burst
-        self.tokens = min(self.tokens + refilled, burst)
+    def advance(self, now: float, limit_per_s: float) -> None:
+        """Decay the rates and refill the bucket up to `now`."""
+        elapsed_s = now - self.updated_at
+        decay = math.exp(-elapsed_s / RATE_TIME_CONSTANT_S)
+        self.requested *= decay
+        self.admitted *= decay
+        self.refused *= decay
+        self.updated_at = now
+        burst = max(limit_per_s * BURST_ALLOWANCE_S, 1.0)
+        refill = limit_per_s * elapsed_s if math.isfinite(limit_per_s) else burst
+        self.tokens = min(self.tokens + refill, burst)
 
 
 class Admission:
-    """Decides which requests an overloaded instance takes.
+    """Decides which requests an overloaded instance admits.
 
-    While the loop lags, all organisations share one limit on their requests a second,
-    which falls until the loop keeps up. An organisation that asks for less than the
-    limit loses nothing, the others get equal parts: the max-min share of what the
-    instance can do.
+    While the event loop lags, the same rate limit applies to each organisation, and it
+    decreases until the loop keeps up. Organisations below the limit are not refused
+    and the others get equal rates, so that the capacity of the instance is divided by
+    max-min fairness.
 
     Parameters
     ----------
     lag
-        Measures the loop.
+        Measures event loop lag.
     """
 
     def __init__(self, lag: LoopLag) -> None:
         self._lag = lag
-        self._level = math.inf
-        self._uses: dict[str, _Use] = {}
+        self._limit_per_s = math.inf
+        self._states: dict[str, _OrganisationState] = {}
         self._measured_at = -math.inf
-        self._lowered_at = -math.inf
-        # Refusals since the last measurement.
-        self._refused = 0
-        self._pressed_since: float | None = None
-        self._pressed_at = -math.inf
-        self._crowded = False
+        self._decreased_at = -math.inf
+        # Since the last measurement.
+        self._refusals = 0
+        self._overload_since: float | None = None
+        self._overload_seen_at = -math.inf
+        self._overloaded = False
         self._subscription: Subscription | None = None
 
     @property
-    def level(self) -> float:
-        """Requests a second that an organisation may send, infinite without limit."""
-        return self._level
+    def limit_per_s(self) -> float:
+        """Requests a second allowed to each organisation, infinite without a limit."""
+        return self._limit_per_s
 
     @property
     def crowded(self) -> bool:
-        """Whether the overload lasts, so that new callers should go elsewhere."""
-        return self._crowded
+        """Whether overload is sustained: callers should use other instances."""
+        return self._overloaded
 
     def start(self, timers: Timers) -> None:
-        """Begin to follow the loop's lag."""
-        self._subscription = timers.every(INTERVAL_S, self.measure)
+        """Start adapting the limit to loop lag."""
+        self._subscription = timers.every(MEASURE_INTERVAL_S, self.measure)
 
     def stop(self) -> None:
-        """Stop following it."""
+        """Stop adapting the limit."""
         if self._subscription is not None:
             self._subscription.cancel()
 
     def admit(self, now: float, organisation: str) -> bool:
-        """Return whether a request is taken, and count it."""
-        use = self._uses.get(organisation)
-        if use is None:
-            use = self._uses[organisation] = _Use()
-        use.advance(now, self._level)
-        use.asked += 1.0
-        if math.isfinite(self._level):
-            if use.tokens < 1.0:
-                use.refused += 1.0
-                self._refused += 1
+        """Count a request and return whether it is admitted."""
+        state = self._states.get(organisation)
+        if state is None:
+            state = self._states[organisation] = _OrganisationState()
+        state.advance(now, self._limit_per_s)
+        state.requested += 1.0
+        if math.isfinite(self._limit_per_s):
+            if state.tokens < 1.0:
+                state.refused += 1.0
+                self._refusals += 1
                 return False
-            use.tokens -= 1.0
-        use.taken += 1.0
+            state.tokens -= 1.0
+        state.admitted += 1.0
         return True
 
     def measure(self, now: float) -> None:
-        """Adapt the limit to the loop's lag."""
-        passed = now - self._measured_at
+        """Adapt the limit to the current loop lag."""
+        elapsed_s = now - self._measured_at
         self._measured_at = now
-        if self._lag.late:
-            if now - self._lowered_at >= LOWERING_PAUSE_S:
-                self._lowered_at = now
-                self._lower()
-        elif math.isfinite(self._level):
-            self._raise(min(passed, DOUBLING_S))
-        for use in self._uses.values():
-            use.advance(now, self._level)
-        self._follow_pressure(now)
-        self._uses = {
-            name: use
-            for name, use in self._uses.items()
-            if use.asked > FORGOTTEN_RATE * RATE_MEMORY_S
+        if self._lag.lagging:
+            if now - self._decreased_at >= DECREASE_INTERVAL_S:
+                self._decreased_at = now
+                self._decrease()
+        elif math.isfinite(self._limit_per_s):
+            self._increase(min(elapsed_s, DOUBLING_TIME_S))
+        for state in self._states.values():
+            state.advance(now, self._limit_per_s)
+        self._update_overload(now)
+        self._states = {
+            name: state
+            for name, state in self._states.items()
+            if state.requested > MIN_TRACKED_PER_S * RATE_TIME_CONSTANT_S
         }
 
-    def _lower(self) -> None:
-        if not self._uses:
+    def _decrease(self) -> None:
+        if not self._states:
             return
-        if math.isinf(self._level):
-            taken = {name: use.taken for name, use in self._uses.items()}
-            largest = max(taken, key=lambda name: taken[name])
-            self._level = taken[largest] / RATE_MEMORY_S
+        if math.isinf(self._limit_per_s):
+            admitted = {name: state.admitted for name, state in self._states.items()}
+            largest = max(admitted, key=lambda name: admitted[name])
+            self._limit_per_s = admitted[largest] / RATE_TIME_CONSTANT_S
             emit(
                 Event.ADMISSION_LIMITED,
-                level=round(self._level, 2),
-                lag_s=round(self._lag.seconds, 4),
+                level=round(self._limit_per_s, 2),
+                lag_s=round(self._lag.mean_s, 4),
                 largest=largest,
-                organisations=len(taken),
+                organisations=len(admitted),
             )
-        self._level = max(self._level * LOWERED_PART, LEAST_LEVEL)
-
-    def _raise(self, passed: float) -> None:
-        self._level *= 2.0 ** (passed / DOUBLING_S)
-        asked = max((use.asked for use in self._uses.values()), default=0.0)
-        if self._level > RELEASE_RATIO * max(asked, 1.0) / RATE_MEMORY_S:
-            self._level = math.inf
-            emit(Event.ADMISSION_OPENED, lag_s=round(self._lag.seconds, 4))
-
-    def _follow_pressure(self, now: float) -> None:
-        asked = sum(use.asked for use in self._uses.values())
-        refused = sum(use.refused for use in self._uses.values())
-        refusing = self._refused > 0 and refused > REFUSED_PART * asked
-        self._refused = 0
-        if self._lag.late or refusing:
-            self._pressed_at = now
-            if self._pressed_since is None:
-                self._pressed_since = now
-        elif now - self._pressed_at > CALM_S:
-            self._pressed_since = None
-        since = self._pressed_since
-        crowded = since is not None and self._pressed_at - since >= LASTING_S
-        if crowded != self._crowded:
-            self._crowded = crowded
+        self._limit_per_s = max(self._limit_per_s * DECREASE_RATIO, MIN_LIMIT_PER_S)
+
+    def _increase(self, elapsed_s: float) -> None:
+        self._limit_per_s *= 2.0 ** (elapsed_s / DOUBLING_TIME_S)
+        requested = max(
+            (state.requested for state in self._states.values()), default=0.0
+        )
+        if (
+            self._limit_per_s
+            > LIMIT_REMOVAL_RATIO * max(requested, 1.0) / RATE_TIME_CONSTANT_S
+        ):
+            self._limit_per_s = math.inf
+            emit(Event.ADMISSION_OPENED, lag_s=round(self._lag.mean_s, 4))
+
+    def _update_overload(self, now: float) -> None:
+        requested = sum(state.requested for state in self._states.values())
+        refused = sum(state.refused for state in self._states.values())
+        refusing = self._refusals > 0 and refused > MIN_REFUSAL_RATIO * requested
+        self._refusals = 0
+        if self._lag.lagging or refusing:
+            self._overload_seen_at = now
+            if self._overload_since is None:
+                self._overload_since = now
+        elif now - self._overload_seen_at > MAX_OVERLOAD_GAP_S:
+            self._overload_since = None
+        since = self._overload_since
+        overloaded = (
+            since is not None and self._overload_seen_at - since >= SUSTAINED_OVERLOAD_S
+        )
+        if overloaded != self._overloaded:
+            self._overloaded = overloaded
             emit(
-                Event.CROWDING_BEGAN if crowded else Event.CROWDING_ENDED,
-                asked_per_s=round(asked / RATE_MEMORY_S, 1),
-                refused_per_s=round(refused / RATE_MEMORY_S, 1),
-                lag_s=round(self._lag.seconds, 4),
+                Event.CROWDING_BEGAN if overloaded else Event.CROWDING_ENDED,
+                asked_per_s=round(requested / RATE_TIME_CONSTANT_S, 1),
+                refused_per_s=round(refused / RATE_TIME_CONSTANT_S, 1),
+                lag_s=round(self._lag.mean_s, 4),
             )
--- a/borageworks/gateway/answer_head.py
+++ b/borageworks/gateway/answer_head.py
@@ -1,4 +1,4 @@
-"""What an endpoint states before the body of its answer."""
+"""Status and headers of an endpoint's response, as the adapter decoded them."""
 
 from __future__ import annotations
 
@@ -7,20 +7,20 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerHead:
-    """Head of an endpoint's answer.
+    """Head of an endpoint's response.
 
     Parameters
     ----------
     status
         HTTP status.
     request_id
-        Identity of the request that is answered, or None if it is not stated.
+        Id of the request that the endpoint responds to, or None if not stated.
     genuine
-        Whether the endpoint vouches for the answer.
+        Whether the response carries the endpoint's seal header.
     not_run
-        Whether the endpoint states that it did not run the request.
+        Whether the endpoint states that it did not execute the request.
     other_endpoint
-        Whether another endpoint than the expected one has the address.
+        Whether the address now belongs to another endpoint than the expected one.
     """
 
     status: int
--- a/borageworks/gateway/asked.py
+++ b/borageworks/gateway/asked.py
@@ -1,4 +1,4 @@
-"""A request of this instance that asks for an endpoint."""
+"""State of a placement request that this instance has made."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 
 @dataclass(slots=True)
 class Asked:
-    """A request of this instance, from its question to its end.
+    """A request received by this instance, from placement to completion.
 
     Parameters
     ----------
     shard
-        Endpoints that it belongs to.
+        Service and shard number that place the request.
     work
-        What is to be placed.
+        Work to place.
     owner
-        Instance that places it.
+        Instance that owns the shard and places the work.
     future
-        Receives the decision.
+        Resolves to the placement decision.
     acknowledged
-        Set when the owner has reacted.
+        Set when the owner has acknowledged the request.
     endpoint
-        Where it runs, None until it is placed.
+        Endpoint that runs the request, None until it is placed.
     started
-        Whether the answer has begun.
+        Whether the response has started.
     """
 
     shard: Shard
--- a/borageworks/gateway/caller_request.py
+++ b/borageworks/gateway/caller_request.py
@@ -1,4 +1,4 @@
-"""A caller's request as the adapter decoded it."""
+"""A caller's request as decoded by the platform adapter."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptPart:
-    """A part of a prompt; equal ids have equal content."""
+    """A part of a prompt; parts with equal ids have equal content."""
 
     id: str
     tokens: int
@@ -20,13 +20,13 @@
     Parameters
     ----------
     model
-        Model that it asks for.
+        Name of the requested model.
     tokens
         Length of the prompt in tokens.
     generated_tokens
         Expected number of generated tokens.
     parts
-        Parts in order; the last one belongs to this request or its session.
+        Parts in order; the last one is specific to this request or its session.
     """
 
     model: str
@@ -37,14 +37,14 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """What a caller asks for.
+    """A caller's request, without its body.
 
     Parameters
     ----------
     id
-        Identity of this attempt of the caller; empty if it sent none.
+        Id of this attempt, chosen by the caller; empty if none was sent.
     method, target
-        Method, and path with query as they were sent.
+        Method, and request target (path and query) as sent.
     host
         Host without port, in lower case.
     path
@@ -52,13 +52,13 @@
     key
         API key, or None.
     patience_s
-        Seconds that the caller waits, or None if it does not say.
+        Seconds that the caller waits for the response, or None if not stated.
     last_event
-        Last event of the stream that the caller has, or None.
+        Id of the last stream event that the caller received, or None.
     prompt
         Description of the prompt, or None.
     headers
-        Headers to pass on, without those that the router sets.
+        Headers to forward, without those that the gateway sets.
     """
 
     id: str
--- a/borageworks/gateway/codec.py
+++ b/borageworks/gateway/codec.py
@@ -1,4 +1,4 @@
-"""What the gateway needs from the adapter of a platform."""
+"""Interface between the gateway and the adapter of a platform."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Codec(Protocol):
-    """Translates between the platform's messages and the project's types."""
+    """Converts between the platform's messages and the types of the gateway."""
 
     configuration_key: str
     endpoint_prefix: str
@@ -24,17 +24,23 @@
     memory_list_target: str
 
     def configuration(self, data: bytes) -> Deployment:
-        """Return the operator's configuration, or raise DeploymentMalformedError."""
+        """Decode the operator's configuration, or raise DeploymentMalformedError."""
         ...
 
     def endpoint(self, key: str, data: bytes) -> Endpoint:
-        """Return a listed endpoint, or raise EndpointEntryMalformedError."""
+        """Decode an entry of the endpoint list.
+
+        Raises
+        ------
+        EndpointEntryMalformedError
+            If the entry is malformed.
+        """
         ...
 
     def request(
         self, method: str, target: str, headers: CIMultiDictProxy[str]
     ) -> CallerRequest:
-        """Return a caller's request."""
+        """Decode a caller's request."""
         ...
 
     def caller_key(self, headers: CIMultiDictProxy[str]) -> str | None:
@@ -50,21 +56,21 @@
         remaining_s: float,
         last_event: int | None,
     ) -> Iterable[tuple[str, str]]:
-        """Return the headers that an endpoint gets."""
+        """Return the headers of the request to an endpoint."""
         ...
 
     def answer(self, status: int, headers: CIMultiDictProxy[str]) -> AnswerHead:
-        """Return what an endpoint states before the body."""
+        """Decode the head of an endpoint's response."""
         ...
 
     def memory_events_target(self, since: int) -> str:
-        """Return the request target for changes of an engine's memory."""
+        """Return the request target for an engine's cache updates after `since`."""
         ...
 
     def memory_events(self, data: bytes) -> MemoryNews:
-        """Return changes of an engine's memory, or raise EndpointFailedError."""
+        """Decode updates of an engine's cache, or raise EndpointFailedError."""
         ...
 
     def memory_list(self, data: bytes) -> MemoryNews:
-        """Return an engine's memory, or raise EndpointFailedError."""
+        """Decode the full list of an engine's cache, or raise EndpointFailedError."""
         ...
--- a/borageworks/gateway/deployment.py
+++ b/borageworks/gateway/deployment.py
@@ -10,10 +10,10 @@
 
 @dataclass(frozen=True, slots=True)
 class EngineProfile:
-    """What the operator states about the model engines of a service.
+    """Capacity of each model engine of a service, as the operator configures it.
 
-    `slots` run at once; `memory_tokens` are shared by running requests and kept prompt
-    parts.
+    `slots` requests run concurrently; running requests and cached prompt parts share
+    memory for `memory_tokens` tokens.
     """
 
     slots: int
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """Bounds on what callers send, and on how long their connections stay idle."""
+    """Limits on the size of requests and on the idle time of connections."""
 
     header_bytes: int
     body_bytes: int
@@ -39,7 +39,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Organisation:
-    """An organisation."""
+    """A customer that holds API keys."""
 
     name: str
 
@@ -51,16 +51,16 @@
     Parameters
     ----------
     version
-        Number that rises with each change.
+        Number that increases with each change.
     routes, services
         Routes, and services by name.
     organisations
         Organisation by API key; None if requests need no key.
     limits
-        Bounds for callers.
+        Limits for callers.
     tokens_per_s
-        Tokens that all engines together process a second, a prompt token counted once
-        and a generated one twice; None if the operator states none.
+        Total throughput of all engines in tokens a second, with generated tokens
+        counted twice; None if not configured.
     """
 
     version: int
--- a/borageworks/gateway/endpoint.py
+++ b/borageworks/gateway/endpoint.py
@@ -1,4 +1,4 @@
-"""An endpoint as the platform's list describes it."""
+"""An endpoint as described by the platform's endpoint list."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
     Parameters
     ----------
     id
-        Identity; a restart mostly brings another one.
+        Id, which usually changes when the endpoint restarts.
     service
         Service that it runs.
     host, port
-        Address, which another endpoint may get later.
+        Address, which may be reused by another endpoint later.
     domain
         Failure domain.
     slots
-        Requests that it runs at once.
+        Number of requests that it runs concurrently.
     leaving
-        Whether it takes no new work.
+        Whether it is shutting down and accepts no new requests.
     started_ms
-        Unix time of its start in milliseconds, 0 if it states none.
+        Unix time of its start in milliseconds, 0 if unknown.
     """
 
     id: str
@@ -38,5 +38,5 @@
 
     @property
     def incarnation(self) -> str:
-        """Identity of this start."""
+        """Identity that differs between restarts with the same id."""
         return f"{self.id}/{self.started_ms}"
--- a/borageworks/gateway/event_stream.py
+++ b/borageworks/gateway/event_stream.py
@@ -1,4 +1,4 @@
-"""Splits an event stream into whole events."""
+"""Splits a stream of server-sent events into complete events."""
 
 from __future__ import annotations
 
@@ -6,74 +6,76 @@
 
 from borageworks.exceptions import EndpointReplyMalformedError
 
-_ENDS = (b"\n\n", b"\r\n\r\n")
-LONGEST_END = 4
-# Hundreds of times an event with a few tokens.
+_TERMINATORS = (b"\n\n", b"\r\n\r\n")
+MAX_TERMINATOR_BYTES = 4
+# Hundreds of times the size of an event with a few tokens.
 MAX_EVENT_BYTES = 65_536
-_ID = b"id:"
+_ID_PREFIX = b"id:"
 
 
 @dataclass(frozen=True, slots=True)
 class StreamEvent:
-    """One event with its bytes, and its id or None."""
+    """Raw bytes of one event, and its numeric id or None."""
 
     data: bytes
     id: int | None
 
 
 class EventSplitter:
-    """Collects bytes of a stream and returns the events that are complete.
+    """Buffers the bytes of a stream and returns complete events.
 
     Parameters
     ----------
-    limit
-        Largest event in bytes.
+    max_bytes
+        Maximum size of an event.
     """
 
-    def __init__(self, limit: int = MAX_EVENT_BYTES) -> None:
-        self._limit = limit
+    def __init__(self, max_bytes: int = MAX_EVENT_BYTES) -> None:
+        self._max_bytes = max_bytes
         self._buffer = bytearray()
 
     @property
     def rest(self) -> bytes:
-        """Bytes of an event that is not complete."""
+        """Buffered bytes of an incomplete event."""
         return bytes(self._buffer)
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Add bytes and return the events that they complete.
+        """Append bytes and return the events completed by them.
 
         Raises
         ------
         EndpointReplyMalformedError
-            If an event is over the limit.
+            If an incomplete event is larger than the maximum.
         """
-        # The end of an event may have begun before these bytes.
-        searched = max(len(self._buffer) - LONGEST_END + 1, 0)
+        # A terminator may be split between the buffer and the new bytes.
+        search_start = max(len(self._buffer) - MAX_TERMINATOR_BYTES + 1, 0)
         self._buffer += data
         events: list[StreamEvent] = []
-        while (end := _end(self._buffer, searched)) > 0:
+        while (end := _event_end(self._buffer, search_start)) > 0:
             block = bytes(self._buffer[:end])
             del self._buffer[:end]
-            searched = 0
+            search_start = 0
             events.append(StreamEvent(block, _event_id(block)))
-        if len(self._buffer) > self._limit:
-            raise EndpointReplyMalformedError(f"event over {self._limit} bytes")
+        if len(self._buffer) > self._max_bytes:
+            raise EndpointReplyMalformedError(
+                f"event is larger than {self._max_bytes} bytes"
+            )
         return events
 
 
-def _end(data: bytearray, searched: int) -> int:
-    """Return where the first event ends, 0 if it has no end yet."""
-    found = [
-        position + len(end)
-        for end in _ENDS
-        if (position := data.find(end, searched)) >= 0
+def _event_end(data: bytearray, search_start: int) -> int:
+    """Return the end offset of the first event, 0 if it is incomplete."""
+    ends = [
+        position + len(terminator)
+        for terminator in _TERMINATORS
+        if (position := data.find(terminator, search_start)) >= 0
     ]
-    return min(found, default=0)
+    return min(ends, default=0)
 
 
 def _event_id(block: bytes) -> int | None:
     for line in block.splitlines():
-        if line.startswith(_ID):
-            text = line[len(_ID) :].strip()
+        if line.startswith(_ID_PREFIX):
+            text = line[len(_ID_PREFIX) :].strip()
             return int(text) if text.isdigit() else None
     return None
--- a/borageworks/gateway/exchange.py
+++ b/borageworks/gateway/exchange.py
@@ -1,4 +1,4 @@
-"""Runs one caller's request on endpoints of its service."""
+"""Forwards one caller's request to endpoints of its service."""
 
 from __future__ import annotations
 
@@ -40,27 +40,27 @@
 from borageworks.placement.outcome import WorkOutcome
 from borageworks.placement.work import Work
 
-# Part of the aim that a request may wait for a free endpoint although it is then late.
-# A caller that is told early can still come back in time.
-PATIENCE_RATIO = 0.25
-# Endpoints that may turn out to be unreachable before the caller is told so.
-CONNECT_TRIES = 3
-# Answers up to this size are passed on only when they are whole.
-WHOLE_BYTES = 1 << 20
-# The body of a refusal tells callers nothing. A longer or later one is not worth the
-# connection that reading it keeps.
-REFUSAL_BYTES = 65_536
-REFUSAL_BODY_S = 0.1
-BUSY_RETRY_S = 0.2
-OK_STATUSES = range(200, 300)
-SERVER_ERRORS = range(500, 600)
-# Statuses that tell a caller that its request did not run.
-PROMISES = frozenset((408, 421, 429, 503))
+# Fraction of the target latency that a request may wait for a free endpoint although it
+# can no longer meet its target. An early refusal leaves the caller time to retry.
+MAX_LATENESS_RATIO = 0.25
+# Unreachable endpoints to try before the caller gets an error.
+MAX_CONNECT_ATTEMPTS = 3
+# Responses other than streams are forwarded once complete; larger ones are errors.
+MAX_BUFFERED_BYTES = 1 << 20
+# The body of a refusal is not forwarded; it is read only to reuse the connection. If it
+# exceeds these limits, the connection is closed instead.
+MAX_REFUSAL_BODY_BYTES = 65_536
+REFUSAL_BODY_TIMEOUT_S = 0.1
+BUSY_RETRY_AFTER_S = 0.2
+SUCCESS_STATUSES = range(200, 300)
+SERVER_ERROR_STATUSES = range(500, 600)
+# Statuses that tell callers that their request was not executed.
+NOT_EXECUTED_STATUSES = frozenset((408, 421, 429, 503))
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
-    """A whole answer of an endpoint."""
+class BufferedResponse:
+    """A complete response of an endpoint."""
 
     status: int
     headers: tuple[tuple[str, str], ...]
@@ -69,24 +69,24 @@
 
 @dataclass(frozen=True, slots=True)
 class Exchange:
-    """A request with what decides how it runs.
+    """A caller's request with its route, service and deadline.
 
     Parameters
     ----------
     request
-        What the caller asks for.
+        Decoded request.
     host_header
-        Host header as it was sent.
+        Host header as sent by the caller.
     route, service
-        Route, and the service that was picked for it.
+        Route, and the service selected from its targets.
     organisation
-        Organisation of the key, or None on public routes.
+        Organisation of the API key, or None if there is none.
     body
-        Whole body, None if there is none.
+        Complete body, None if there is none.
     version
-        Version of the configuration that decided.
+        Version of the configuration that the request was accepted under.
     received_at, deadline
-        Loop times of the request and of the end of the caller's patience or the
+        Loop times of the request and of the earlier of the caller's deadline and the
         route's time limit.
     """
 
@@ -102,18 +102,18 @@
 
 
 class ExchangeRunner:
-    """Runs one caller's request on endpoints of its service.
+    """Forwards one caller's request to endpoints, with retries on failure.
 
     Parameters
     ----------
     exchange
-        The request.
+        The request to forward.
     sink
-        Receives the answer.
+        Receives the response.
     codec, directory, placer, upstream, metrics
-        Parts of the gateway.
+        Components of the gateway.
     take_retry
-        Returns whether the fleet's budget allows one more attempt at the service.
+        Takes one retry from the fleet's budget; returns False if none is left.
     """
 
     def __init__(
@@ -138,13 +138,13 @@
         self._loop = asyncio.get_running_loop()
         self._excluded: set[str] = set()
         self._attempts = 0
-        self._unreachable = 0
+        self._connect_failures = 0
         self._may_have_run = False
         self._last_event = exchange.request.last_event
         self._fingerprint = _fingerprint(exchange)
-        self._failure: Answer | None = None
+        self._failure_response: BufferedResponse | None = None
         self.endpoint = ""
-        self.first_part_s: float | None = None
+        self.first_event_s: float | None = None
 
     @property
     def attempts(self) -> int:
@@ -158,34 +158,37 @@
 
     @property
     def organisation(self) -> str | None:
-        """Organisation of the request, None on public routes."""
+        """Organisation of the request, or None if there is none."""
         return self._exchange.organisation
 
     @property
     def route(self) -> str:
-        """Name of the request's route, which tells its kind."""
+        """Name of the request's route."""
         return self._exchange.route.name
 
     async def run(self) -> None:
-        """Run the request until its answer is with the caller.
+        """Forward the request until its response has been sent to the caller.
 
         Raises
         ------
         RefusalError
-            If there is no answer; the sink may have begun to send one.
+            If there is no complete response; the sink may have started one.
         CallerFailedError
-            If the caller has left.
+            If the caller has disconnected.
         """
         try:
             async with asyncio.timeout_at(self._exchange.deadline):
                 await self._attempt_until_done()
         except _NoFurtherAttemptError as error:
-            await self._send(error.answer)
+            await self._send_response(error.response)
         except TimeoutError as error:
             if self._may_have_run:
-                raise AnswerTimeoutError("no complete answer in time") from error
+                raise AnswerTimeoutError(
+                    "no complete response before the deadline"
+                ) from error
             raise CapacityExceededError(
-                "no endpoint took the request in time", retry_after=BUSY_RETRY_S
+                "no endpoint accepted the request before the deadline",
+                retry_after=BUSY_RETRY_AFTER_S,
             ) from error
 
     async def _attempt_until_done(self) -> None:
@@ -195,35 +198,35 @@
             try:
                 done = await self._attempt(endpoint, work)
                 outcome = WorkOutcome.SERVED if done else WorkOutcome.SHED
-                if done and self._sink.response.status in SERVER_ERRORS:
+                if done and self._sink.response.status in SERVER_ERROR_STATUSES:
                     outcome = WorkOutcome.FAILED
             except (EndpointsBusyError, AnswerLostError, _NoFurtherAttemptError):
                 outcome = WorkOutcome.SHED
                 raise
             except EndpointUnreachableError as error:
                 outcome = WorkOutcome.UNREACHABLE
-                self._note_failure(endpoint, error)
-                self._unreachable += 1
-                if self._unreachable >= CONNECT_TRIES:
-                    raise self._unsent(str(error)) from error
+                self._record_failure(endpoint, error)
+                self._connect_failures += 1
+                if self._connect_failures >= MAX_CONNECT_ATTEMPTS:
+                    raise self._unreachable_error(str(error)) from error
                 done = False
             except (EndpointDisconnectedError, EndpointReplyIncompleteError) as error:
                 outcome = WorkOutcome.BROKEN
-                done = self._continue_after(endpoint, error)
+                done = self._prepare_retry(endpoint, error)
             except EndpointFailedError as error:
                 outcome = WorkOutcome.FAILED
-                done = self._continue_after(endpoint, error)
+                done = self._prepare_retry(endpoint, error)
             finally:
                 self._placer.ended(work.key, outcome)
             if done:
                 return
             self._excluded.add(endpoint.id)
 
-    def _continue_after(self, endpoint: Endpoint, error: EndpointFailedError) -> bool:
-        """Return that the request is not done, if it may be sent once more."""
-        self._note_failure(endpoint, error)
+    def _prepare_retry(self, endpoint: Endpoint, error: EndpointFailedError) -> bool:
+        """Return False if the request may be retried, or raise AnswerLostError."""
+        self._record_failure(endpoint, error)
         self._may_have_run = True
-        if not self._may_repeat():
+        if not self._may_retry():
             raise AnswerLostError(str(error)) from error
         return False
 
@@ -235,7 +238,7 @@
                 key=self._placer.new_key(),
                 organisation=exchange.organisation or "",
                 aim_s=exchange.received_at + exchange.route.aim_s - now,
-                patience_s=exchange.route.aim_s * PATIENCE_RATIO,
+                patience_s=exchange.route.aim_s * MAX_LATENESS_RATIO,
                 prompt=exchange.request.prompt if exchange.route.prompts else None,
                 excluded=frozenset(self._excluded),
                 fingerprint=self._fingerprint,
@@ -245,8 +248,8 @@
                     exchange.service, exchange.request.id, work
                 )
             except RefusalError as error:
-                if self._failure is not None:
-                    raise _NoFurtherAttemptError(self._failure) from error
+                if self._failure_response is not None:
+                    raise _NoFurtherAttemptError(self._failure_response) from error
                 if self._may_have_run:
                     raise AnswerLostError(str(error)) from error
                 raise
@@ -267,12 +270,15 @@
             if endpoint is not None and not endpoint.leaving:
                 self.endpoint = endpoint.id
                 return endpoint, work
-            # It left between the decision and now.
+            # The endpoint has become unavailable since the decision.
             self._placer.ended(work.key, WorkOutcome.GONE)
             self._excluded.add(placed.endpoint)
 
     async def _attempt(self, endpoint: Endpoint, work: Work) -> bool:
-        """Send the request once; return False if it did not run and may be resent."""
+        """Send the request once; return whether its response has been forwarded.
+
+        False means that the request may be retried on another endpoint.
+        """
         exchange = self._exchange
         headers = self._codec.forwarded_headers(
             exchange.request,
@@ -283,7 +289,7 @@
             self._last_event,
         )
         self._attempts += 1
-        ran_before, self._may_have_run = self._may_have_run, True
+        may_have_run_before, self._may_have_run = self._may_have_run, True
         try:
             async with self._upstream.open(
                 endpoint,
@@ -294,64 +300,67 @@
                 fresh=exchange.route.repeat is Repeat.NEVER,
             ) as response:
                 head = self._codec.answer(response.status, response.headers)
-                self._check(endpoint, head)
+                self._check_head(endpoint, head)
                 if head.not_run:
-                    self._may_have_run = ran_before
-                    await self._refused(endpoint, head, response)
+                    self._may_have_run = may_have_run_before
+                    await self._handle_refusal(endpoint, head, response)
                     return False
-                if head.status in OK_STATUSES and exchange.route.stream:
-                    await self._pass_stream(endpoint, response, work)
+                if head.status in SUCCESS_STATUSES and exchange.route.stream:
+                    await self._forward_stream(endpoint, response, work)
                     return True
-                return await self._pass_whole(response, head, work)
+                return await self._forward_buffered(response, head, work)
         except EndpointUnreachableError:
-            self._may_have_run = ran_before
+            self._may_have_run = may_have_run_before
             self._attempts -= 1
             raise
 
-    def _check(self, endpoint: Endpoint, head: AnswerHead) -> None:
+    def _check_head(self, endpoint: Endpoint, head: AnswerHead) -> None:
         expected = self._exchange.request.id
         if head.request_id is not None and head.request_id != expected:
             raise EndpointReplyCrossedError(
-                f"endpoint {endpoint.id!r} answered request {head.request_id!r}"
+                f"endpoint {endpoint.id!r} responded to request {head.request_id!r}"
             )
         if head.not_run:
             return
-        if head.status in OK_STATUSES and not head.genuine:
+        if head.status in SUCCESS_STATUSES and not head.genuine:
             raise EndpointReplyMalformedError(
-                f"endpoint {endpoint.id!r} does not vouch for its answer"
+                f"response of endpoint {endpoint.id!r} has no seal header"
             )
-        if head.status in PROMISES:
+        if head.status in NOT_EXECUTED_STATUSES:
             raise EndpointReplyMalformedError(
-                f"endpoint {endpoint.id!r} answered {head.status} and may have run it"
+                f"endpoint {endpoint.id!r} responded with status {head.status} "
+                "without stating that the request was not executed"
             )
 
-    async def _refused(
+    async def _handle_refusal(
         self, endpoint: Endpoint, head: AnswerHead, response: aiohttp.ClientResponse
     ) -> None:
-        await self._drop_body(endpoint, response)
+        await self._discard_refusal_body(endpoint, response)
         self._metrics.count("endpoint_refusals", str(head.status))
         if head.other_endpoint:
             self._directory.mark_gone(endpoint.id)
             self._placer.update()
-        if not self._may_repeat():
-            if self._failure is not None:
-                raise _NoFurtherAttemptError(self._failure)
+        if not self._may_retry():
+            if self._failure_response is not None:
+                raise _NoFurtherAttemptError(self._failure_response)
             if self._may_have_run:
-                raise AnswerLostError(f"endpoint {endpoint.id!r} has no room either")
+                raise AnswerLostError(f"endpoint {endpoint.id!r} refused a retry")
             raise EndpointsBusyError(
-                f"endpoint {endpoint.id!r} has no room", retry_after=BUSY_RETRY_S
+                f"endpoint {endpoint.id!r} refused the request",
+                retry_after=BUSY_RETRY_AFTER_S,
             )
 
-    async def _drop_body(
+    async def _discard_refusal_body(
         self, endpoint: Endpoint, response: aiohttp.ClientResponse
     ) -> None:
-        """Read the rest of a refusal, so that its connection can be used again.
+        """Read the body of a refusal so that the connection can be reused.
 
-        Its head has said that the request did not run, whatever follows.
+        Failures are only counted: the head already states that the request was not
+        executed.
         """
         try:
-            async with asyncio.timeout(REFUSAL_BODY_S):
-                await read_bounded(response, REFUSAL_BYTES)
+            async with asyncio.timeout(REFUSAL_BODY_TIMEOUT_S):
+                await read_bounded(response, MAX_REFUSAL_BODY_BYTES)
         except (
             aiohttp.ClientError,
             EndpointReplyMalformedError,
@@ -360,71 +369,71 @@
             response.close()
             self._metrics.count("endpoint_refusals_unread", type(error).__name__)
 
-    async def _pass_whole(
+    async def _forward_buffered(
         self, response: aiohttp.ClientResponse, head: AnswerHead, work: Work
     ) -> bool:
         self._placer.started(work.key)
         body = bytearray()
         async for data in read_body(response):
             body += data
-            if len(body) > WHOLE_BYTES:
-                raise EndpointReplyMalformedError("the answer is too large")
-        answer = Answer(
+            if len(body) > MAX_BUFFERED_BYTES:
+                raise EndpointReplyMalformedError("the response is too large")
+        buffered = BufferedResponse(
             response.status, end_to_end(response.headers.items()), bytes(body)
         )
-        if response.status in SERVER_ERRORS and self._may_repeat():
-            self._failure = answer
+        if response.status in SERVER_ERROR_STATUSES and self._may_retry():
+            self._failure_response = buffered
             self._metrics.count("retries", "endpoint_error")
             return False
-        await self._send(answer)
+        await self._send_response(buffered)
         return True
 
-    async def _send(self, answer: Answer) -> None:
-        """Pass a whole answer to the caller."""
+    async def _send_response(self, response: BufferedResponse) -> None:
+        """Send a complete response to the caller."""
         if self._sink.started:
-            raise AnswerLostError("the stream cannot go on")
-        headers = (*answer.headers, ("Content-Length", str(len(answer.body))))
-        await self._sink.start(answer.status, headers)
-        await self._sink.write(answer.body)
+            raise AnswerLostError("the started stream cannot be continued")
+        headers = (*response.headers, ("Content-Length", str(len(response.body))))
+        await self._sink.start(response.status, headers)
+        await self._sink.write(response.body)
         await self._sink.finish()
 
-    async def _pass_stream(
+    async def _forward_stream(
         self, endpoint: Endpoint, response: aiohttp.ClientResponse, work: Work
     ) -> None:
         await self._sink.start(response.status, end_to_end(response.headers.items()))
         splitter = EventSplitter()
-        whole_events = self._exchange.route.repeat is Repeat.RESUME
+        resumable = self._exchange.route.repeat is Repeat.RESUME
         first = True
         async for data in read_body(response):
             if first:
                 first = False
                 self._placer.started(work.key)
-                if self.first_part_s is None:
-                    self.first_part_s = self._loop.time() - self._exchange.received_at
-                    self._metrics.observe("first_event", self.first_part_s, self.route)
+                if self.first_event_s is None:
+                    self.first_event_s = self._loop.time() - self._exchange.received_at
+                    self._metrics.observe("first_event", self.first_event_s, self.route)
             events = splitter.feed(data)
-            if not whole_events:
+            if not resumable:
                 await self._sink.write(data)
                 continue
             for event in events:
                 if event.id is not None:
-                    self._check_order(endpoint, event.id)
+                    self._check_event_order(endpoint, event.id)
                     self._last_event = event.id
                 await self._sink.write(event.data)
-        if whole_events and splitter.rest:
+        if resumable and splitter.rest:
             raise EndpointReplyIncompleteError(
-                f"endpoint {endpoint.id!r} stopped inside an event"
+                f"stream of endpoint {endpoint.id!r} ended within an event"
             )
         await self._sink.finish()
 
-    def _check_order(self, endpoint: Endpoint, event: int) -> None:
+    def _check_event_order(self, endpoint: Endpoint, event: int) -> None:
         if self._last_event is not None and event != self._last_event + 1:
             raise EndpointReplyMalformedError(
                 f"endpoint {endpoint.id!r} sent event {event} after {self._last_event}"
             )
 
-    def _may_repeat(self) -> bool:
-        """Return whether the request may be sent to one more endpoint."""
+    def _may_retry(self) -> bool:
+        """Return whether a retry is allowed; if so, take it from the budget."""
         route = self._exchange.route
         if self._may_have_run and route.repeat is Repeat.NEVER:
             return False
@@ -435,7 +444,7 @@
             return False
         return True
 
-    def _note_failure(self, endpoint: Endpoint, error: EndpointFailedError) -> None:
+    def _record_failure(self, endpoint: Endpoint, error: EndpointFailedError) -> None:
         self._metrics.count("attempt_failures", error.code)
         emit(
             Event.ATTEMPT_FAILED,
@@ -446,14 +455,14 @@
             last_event=self._last_event,
         )
 
-    def _unsent(self, detail: str) -> RefusalError:
+    def _unreachable_error(self, detail: str) -> RefusalError:
         if self._may_have_run:
             return AnswerLostError(detail)
-        return EndpointUnavailableError(detail, retry_after=BUSY_RETRY_S)
+        return EndpointUnavailableError(detail, retry_after=BUSY_RETRY_AFTER_S)
 
 
 def _fingerprint(exchange: Exchange) -> bytes:
-    """Return a hash that equal requests of an organisation share."""
+    """Return a hash that identifies equal requests of an organisation."""
     digest = xxhash.xxh3_64((exchange.organisation or "").encode())
     digest.update(b"\0" + exchange.request.target.encode() + b"\0")
     digest.update(exchange.body or b"")
@@ -461,8 +470,8 @@
 
 
 class _NoFurtherAttemptError(Exception):
-    """No further attempt is possible, and an endpoint's own failure is at hand."""
+    """No retry is possible; carries the server error of an earlier attempt."""
 
-    def __init__(self, answer: Answer) -> None:
+    def __init__(self, response: BufferedResponse) -> None:
         super().__init__()
-        self.answer = answer
+        self.response = response
--- a/borageworks/gateway/frontend.py
+++ b/borageworks/gateway/frontend.py
@@ -1,4 +1,4 @@
-"""HTTP interface of the gateway for callers."""
+"""HTTP server of the gateway for callers."""
 
 from __future__ import annotations
 
@@ -39,31 +39,31 @@
 from borageworks.gateway.upstream import Upstream
 from borageworks.metrics import Metrics
 
-# Used until the operator's configuration states the bounds.
-FIRST_HEADER_BYTES = 65_536
-FIRST_IDLE_TIMEOUT_S = 15.0
-NOT_READY_RETRY_S = 0.5
-# The caller's next connection reaches another instance.
-LEAVING_RETRY_S = 0.02
-OVERLOADED_RETRY_S = 0.02
-CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
+# Limits in force until the operator's configuration has been received.
+INITIAL_MAX_HEADER_BYTES = 65_536
+INITIAL_IDLE_TIMEOUT_S = 15.0
+NOT_READY_RETRY_AFTER_S = 0.5
+# Short, since the caller's next connection reaches another instance.
+LEAVING_RETRY_AFTER_S = 0.02
+OVERLOADED_RETRY_AFTER_S = 0.02
+CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 class Frontend:
-    """HTTP interface of the gateway for callers.
+    """HTTP server of the gateway for callers.
 
     Parameters
     ----------
     settings
         Settings of the process.
     codec, directory, placer, upstream, retries, metrics
-        Parts of the gateway.
+        Components of the gateway.
     shutdown
-        Decides what is still accepted while the process stops.
+        Decides which requests are accepted during shutdown.
     store_silence
-        Returns for how many seconds the store has not answered, 0 if it does.
+        Returns the seconds since the store stopped replying, 0 while it replies.
     admission
-        Decides which requests this process takes.
+        Decides which requests are admitted under overload.
     """
 
     def __init__(
@@ -97,21 +97,25 @@
 
     @property
     def running(self) -> int:
-        """Number of requests that are not answered yet."""
+        """Number of requests without a complete response."""
         return self._running
 
     async def start(self) -> None:
-        """Listen for callers."""
+        """Start listening for callers."""
         self._server = web.Server(self._handle, handler_cancellation=True)
-        self._acceptor = Acceptor(self._settings.callers, self._connect, self._metrics)
+        self._acceptor = Acceptor(
+            self._settings.callers, self._new_protocol, self._metrics
+        )
         self._acceptor.start()
 
     def report(self) -> None:
-        """Log what organisations were refused since the last time."""
-        self._tally.report(level=round(self._admission.level, 2), running=self._running)
+        """Log the refusals by organisation since the last report."""
+        self._tally.report(
+            level=round(self._admission.limit_per_s, 2), running=self._running
+        )
 
     async def stop_accepting(self) -> None:
-        """Close the listening socket; open connections go on."""
+        """Close the listening socket; open connections stay open."""
         if self._acceptor is not None:
             self._acceptor.stop()
             self._acceptor = None
@@ -129,7 +133,7 @@
         if self._server is not None:
             await self._server.shutdown()
 
-    def _connect(self) -> CallerProtocol:
+    def _new_protocol(self) -> CallerProtocol:
         assert self._server is not None
         deployment = self._directory.deployment
         limits = deployment.limits if deployment is not None else None
@@ -137,40 +141,42 @@
             self._server,
             asyncio.get_running_loop(),
             self._count_refusal,
-            line_bytes=limits.header_bytes if limits else FIRST_HEADER_BYTES,
-            idle_timeout_s=limits.idle_timeout_s if limits else FIRST_IDLE_TIMEOUT_S,
+            line_bytes=limits.header_bytes if limits else INITIAL_MAX_HEADER_BYTES,
+            idle_timeout_s=limits.idle_timeout_s if limits else INITIAL_IDLE_TIMEOUT_S,
         )
 
     def _count_refusal(self, refusal: RefusalError) -> None:
         self._metrics.count("refusals", refusal.code)
 
-    async def _handle(self, http: web.BaseRequest) -> web.StreamResponse:
+    async def _handle(self, http_request: web.BaseRequest) -> web.StreamResponse:
         received_at = asyncio.get_running_loop().time()
         self._running += 1
         self._metrics.count("requests")
-        protocol = http.protocol
+        protocol = http_request.protocol
         assert isinstance(protocol, CallerProtocol)
         protocol.answering = True
         try:
-            return await self._answer(http, received_at)
+            return await self._respond(http_request, received_at)
         finally:
             protocol.answering = False
             self._running -= 1
 
-    async def _answer(
-        self, http: web.BaseRequest, received_at: float
+    async def _respond(
+        self, http_request: web.BaseRequest, received_at: float
     ) -> web.StreamResponse:
-        organisation = self._holder(http)
+        organisation = self._key_organisation(http_request)
         self._tally.ask(organisation)
         if not self._admission.admit(received_at, organisation):
-            # Before anything else is done for the request, since that costs as much.
+            # Refused before any other work, which would cost as much as the refusal.
             self._tally.refuse(organisation)
-            return self._shed()
-        call = self._codec.request(http.method, http.raw_path, http.headers)
-        sink = ResponseSink(http, call.id, last=self._shutdown.begun)
+            return self._refuse_overloaded()
+        request = self._codec.request(
+            http_request.method, http_request.raw_path, http_request.headers
+        )
+        sink = ResponseSink(http_request, request.id, last=self._shutdown.begun)
         runner: ExchangeRunner | None = None
         try:
-            exchange = await self._accept(http, call, received_at)
+            exchange = await self._prepare_exchange(http_request, request, received_at)
             runner = ExchangeRunner(
                 exchange,
                 sink,
@@ -184,21 +190,21 @@
             await runner.run()
         except RefusalError as refusal:
             self._tally.refuse(organisation)
-            self._log_end(call, received_at, refusal.code, runner, refusal)
+            self._log_request_end(request, received_at, refusal.code, runner, refusal)
             if sink.started:
                 self._metrics.count("answers_cut", refusal.code)
                 sink.abort()
                 return sink.response
-            return self._refuse(call, refusal)
+            return self._refuse(request, refusal)
         except CallerFailedError as error:
-            self._log_end(call, received_at, error.code, runner)
+            self._log_request_end(request, received_at, error.code, runner)
             self._metrics.count("callers_lost", error.code)
             sink.abort()
             if not sink.started:
                 raise web.HTTPRequestTimeout from error
             return sink.response
         except asyncio.CancelledError:
-            self._log_end(call, received_at, "caller_left", runner)
+            self._log_request_end(request, received_at, "caller_left", runner)
             self._metrics.count("callers_lost", "caller_left")
             raise
         self._metrics.observe(
@@ -206,51 +212,52 @@
             asyncio.get_running_loop().time() - received_at,
             runner.route,
         )
-        self._log_end(call, received_at, "answered", runner)
+        self._log_request_end(request, received_at, "answered", runner)
         return sink.response
 
-    async def _accept(
-        self, http: web.BaseRequest, call: CallerRequest, received_at: float
+    async def _prepare_exchange(
+        self, http_request: web.BaseRequest, request: CallerRequest, received_at: float
     ) -> Exchange:
         deployment = self._directory.deployment
         if deployment is None:
             raise InstanceNotReadyError(
-                "no configuration is known yet", retry_after=NOT_READY_RETRY_S
+                "no configuration has been received yet",
+                retry_after=NOT_READY_RETRY_AFTER_S,
             )
-        route = self._directory.routes.find(call.host, call.path)
+        route = self._directory.routes.find(request.host, request.path)
         if route is None:
-            raise RouteUnknownError(f"no route for {call.host}{call.path}")
+            raise RouteUnknownError(f"no route for {request.host}{request.path}")
         if not self._shutdown.accepts(received_at, route.timeout_s):
             raise InstanceLeavingError(
-                "the instance is shutting down", retry_after=LEAVING_RETRY_S
+                "the instance is shutting down", retry_after=LEAVING_RETRY_AFTER_S
             )
-        organisation = _organisation(deployment, route, call)
-        body = await _read_body(http, deployment.limits.body_bytes)
-        patience = route.timeout_s
-        if call.patience_s is not None:
-            patience = min(patience, call.patience_s)
+        organisation = _organisation(deployment, route, request)
+        body = await _read_body(http_request, deployment.limits.body_bytes)
+        timeout_s = route.timeout_s
+        if request.patience_s is not None:
+            timeout_s = min(timeout_s, request.patience_s)
         service = self._pick_service(route)
         self._retries.record_request(service, organisation or NO_ORGANISATION)
         return Exchange(
-            request=call,
-            host_header=http.headers.get("Host", ""),
+            request=request,
+            host_header=http_request.headers.get("Host", ""),
             route=route,
             service=service,
             organisation=organisation,
             body=body,
             version=deployment.version,
             received_at=received_at,
-            deadline=received_at + patience,
+            deadline=received_at + timeout_s,
         )
 
-    def _holder(self, http: web.BaseRequest) -> str:
-        """Return the organisation whose key a request bears."""
+    def _key_organisation(self, http_request: web.BaseRequest) -> str:
+        """Return the organisation of a request's API key, or NO_ORGANISATION."""
         deployment = self._directory.deployment
         if deployment is None or deployment.organisations is None:
             return NO_ORGANISATION
-        key = self._codec.caller_key(http.headers)
-        holder = deployment.organisations.get(key) if key is not None else None
-        return NO_ORGANISATION if holder is None else holder.name
+        key = self._codec.caller_key(http_request.headers)
+        key_owner = deployment.organisations.get(key) if key is not None else None
+        return NO_ORGANISATION if key_owner is None else key_owner.name
 
     def _pick_service(self, route: Route) -> str:
         if len(route.targets) == 1:
@@ -260,58 +267,58 @@
             [target.weight for target in route.targets],
         )[0]
 
-    def _refuse(self, call: CallerRequest, refusal: RefusalError) -> web.Response:
+    def _refuse(self, request: CallerRequest, refusal: RefusalError) -> web.Response:
         self._count_refusal(refusal)
-        response = problem_response(refusal, call.id)
+        response = problem_response(refusal, request.id)
         if refusal.retry_after is not None:
-            # Callers here take fractions; a whole second is longer than most aims.
+            # Callers accept fractions; a whole second exceeds most target latencies.
             response.headers["Retry-After"] = f"{refusal.retry_after:.3f}"
-        self._close_if_others_serve(response)
+        self._close_unless_serving(response)
         return response
 
-    def _close_if_others_serve(self, response: web.Response) -> None:
-        """End the connection of a refused caller whose next one leads elsewhere."""
+    def _close_unless_serving(self, response: web.Response) -> None:
+        """Close the connection if the next one would reach another instance."""
         if self._shutdown.begun or self._admission.crowded:
             response.force_close()
 
-    def _shed(self) -> web.Response:
+    def _refuse_overloaded(self) -> web.Response:
         refusal = InstanceOverloadedError(
-            f"the instance takes {self._admission.level:.1f} requests a second "
-            "of an organisation",
-            retry_after=OVERLOADED_RETRY_S,
+            f"the instance admits {self._admission.limit_per_s:.1f} requests a second "
+            "for each organisation",
+            retry_after=OVERLOADED_RETRY_AFTER_S,
         )
         self._count_refusal(refusal)
         response = web.Response(
             status=refusal.status,
             text=refusal.detail,
-            headers={"Retry-After": f"{OVERLOADED_RETRY_S:.3f}"},
+            headers={"Retry-After": f"{OVERLOADED_RETRY_AFTER_S:.3f}"},
         )
-        self._close_if_others_serve(response)
+        self._close_unless_serving(response)
         return response
 
-    def _log_end(
+    def _log_request_end(
         self,
-        call: CallerRequest,
+        request: CallerRequest,
         received_at: float,
         outcome: str,
         runner: ExchangeRunner | None,
         refusal: RefusalError | None = None,
     ) -> None:
-        taken = asyncio.get_running_loop().time() - received_at
+        duration_s = asyncio.get_running_loop().time() - received_at
         deployment = self._directory.deployment
         emit(
             Event.REQUEST_ENDED,
-            request_id=call.id,
-            path=call.path,
+            request_id=request.id,
+            path=request.path,
             outcome=outcome,
             organisation=runner.organisation if runner else None,
-            taken_s=round(taken, 4),
+            taken_s=round(duration_s, 4),
             endpoint=runner.endpoint if runner else "",
             service=runner.service if runner else "",
             version=deployment.version if deployment else None,
             store_silent_s=self._store_silence(),
             attempts=runner.attempts if runner else 0,
-            first_event_s=_rounded(runner.first_part_s if runner else None),
+            first_event_s=_rounded(runner.first_event_s if runner else None),
             detail=refusal.detail if refusal else "",
             retry_after_s=refusal.retry_after if refusal else None,
         )
@@ -322,33 +329,35 @@
 
 
 def _organisation(
-    deployment: Deployment, route: Route, call: CallerRequest
+    deployment: Deployment, route: Route, request: CallerRequest
 ) -> str | None:
     if deployment.organisations is None:
         return None
-    holder = deployment.organisations.get(call.key) if call.key is not None else None
-    if holder is not None:
-        return holder.name
+    key_owner = (
+        deployment.organisations.get(request.key) if request.key is not None else None
+    )
+    if key_owner is not None:
+        return key_owner.name
     if route.public:
         return None
     raise KeyUnknownError("the API key is missing or unknown")
 
 
-async def _read_body(http: web.BaseRequest, limit: int) -> bytes | None:
-    if not http.can_read_body:
+async def _read_body(http_request: web.BaseRequest, max_bytes: int) -> bytes | None:
+    if not http_request.can_read_body:
         return None
-    if http.headers.get("Expect", "").lower() == "100-continue":
-        transport = http.transport
+    if http_request.headers.get("Expect", "").lower() == "100-continue":
+        transport = http_request.transport
         if transport is not None:
-            transport.write(CONTINUE)
-    if (http.content_length or 0) > limit:
-        raise BodyTooLargeError(f"the body is over {limit} bytes")
+            transport.write(CONTINUE_RESPONSE)
+    if (http_request.content_length or 0) > max_bytes:
+        raise BodyTooLargeError(f"the body is over {max_bytes} bytes")
     body = bytearray()
     try:
-        while data := await http.content.readany():
+        while data := await http_request.content.readany():
             body += data
-            if len(body) > limit:
-                raise BodyTooLargeError(f"the body is over {limit} bytes")
+            if len(body) > max_bytes:
+                raise BodyTooLargeError(f"the body is over {max_bytes} bytes")
     except web.RequestPayloadError as error:
         raise BodyMalformedError(f"the body is incomplete: {error}") from error
     return bytes(body)
--- a/borageworks/gateway/loop_lag.py
+++ b/borageworks/gateway/loop_lag.py
@@ -1,4 +1,4 @@
-"""Notices that the process has more work than its processor can do."""
+"""Measures event loop lag and detects overload of the process."""
 
 from __future__ import annotations
 
@@ -9,53 +9,55 @@
 from borageworks.metrics import Metrics
 from borageworks.timers import Subscription, Timers
 
-INTERVAL_S = 0.05
-# The mean follows within about this time, however many measurements fall into it: an
-# overloaded loop measures seldom.
-MEMORY_S = 0.2
-# Overload ends when the mean lag has fallen to this part of its limit.
-RELEASE_RATIO = 0.5
+MEASURE_INTERVAL_S = 0.05
+# The mean is weighted by time, not by count: an overloaded loop takes few measurements.
+TIME_CONSTANT_S = 0.2
+# Hysteresis: overload ends when the mean lag falls below this fraction of its limit.
+RECOVERY_RATIO = 0.5
 
 
 class LoopLag:
-    """Measures by how much timers fire late.
+    """Exponential moving average of the delay of a periodic timer.
 
     Parameters
     ----------
     settings
-        Lag that counts as overload.
+        Provides the lag above which the process counts as overloaded.
     metrics
-        Receives the duration `loop_lag`.
+        Records the duration `loop_lag`.
     """
 
     def __init__(self, settings: GatewaySettings, metrics: Metrics) -> None:
         self._limit_s = settings.lag_limit_s
         self._metrics = metrics
         self._subscription: Subscription | None = None
-        self._expected = 0.0
-        self._mean = 0.0
+        self._expected_at = 0.0
+        self._mean_s = 0.0
         self._overloaded = False
-        self._last = 0.0
+        self._last_s = 0.0
 
     @property
-    def seconds(self) -> float:
-        """Mean lag."""
-        return self._mean
+    def mean_s(self) -> float:
+        """Mean lag in seconds."""
+        return self._mean_s
 
     @property
     def overloaded(self) -> bool:
-        """Whether the loop has more work than it can do."""
+        """Whether the mean lag is above its limit, with hysteresis."""
         return self._overloaded
 
     @property
-    def late(self) -> bool:
-        """Whether the loop lags, and still did when it was last measured."""
-        return self._mean > self._limit_s and self._last > RELEASE_RATIO * self._limit_s
+    def lagging(self) -> bool:
+        """Whether the mean lag and the latest measurement are both too high."""
+        return (
+            self._mean_s > self._limit_s
+            and self._last_s > RECOVERY_RATIO * self._limit_s
+        )
 
     def start(self, timers: Timers) -> None:
-        """Begin to measure."""
-        self._expected = timers.now() + INTERVAL_S
-        self._subscription = timers.every(INTERVAL_S, self.measure)
+        """Start measuring."""
+        self._expected_at = timers.now() + MEASURE_INTERVAL_S
+        self._subscription = timers.every(MEASURE_INTERVAL_S, self.measure)
 
     def stop(self) -> None:
         """Stop measuring."""
@@ -63,22 +65,22 @@
             self._subscription.cancel()
 
     def measure(self, now: float) -> None:
-        """Take a timer call at `now`."""
-        lag = max(now - self._expected, 0.0)
-        # The timer is set again when it fires, so its lags do not add up.
-        self._expected = now + INTERVAL_S
-        gain = 1.0 - math.exp(-(INTERVAL_S + lag) / MEMORY_S)
-        self._mean += gain * (lag - self._mean)
-        self._metrics.observe("loop_lag", lag)
+        """Record that the timer fired at `now`."""
+        lag_s = max(now - self._expected_at, 0.0)
+        # The timer is rescheduled when it fires, so delays do not accumulate.
+        self._expected_at = now + MEASURE_INTERVAL_S
+        gain = 1.0 - math.exp(-(MEASURE_INTERVAL_S + lag_s) / TIME_CONSTANT_S)
+        self._mean_s += gain * (lag_s - self._mean_s)
+        self._metrics.observe("loop_lag", lag_s)
         overloaded = self._overloaded
-        if self._mean > self._limit_s:
+        if self._mean_s > self._limit_s:
             overloaded = True
-        elif self._mean < RELEASE_RATIO * self._limit_s:
+        elif self._mean_s < RECOVERY_RATIO * self._limit_s:
             overloaded = False
-        self._last = lag
+        self._last_s = lag_s
         if overloaded != self._overloaded:
             self._overloaded = overloaded
             emit(
                 Event.OVERLOAD_BEGAN if overloaded else Event.OVERLOAD_ENDED,
-                lag_s=round(self._mean, 4),
+                lag_s=round(self._mean_s, 4),
             )
--- a/borageworks/gateway/retries.py
+++ b/borageworks/gateway/retries.py
@@ -15,23 +15,26 @@
     Parameters
     ----------
     settings
-        Budget of the fleet.
+        Provide the budget of the fleet.
     timers
         Clock.
-    instances
+    instance_count
         Returns the number of instances that share the budget.
     """
 
     def __init__(
-        self, settings: GatewaySettings, timers: Timers, instances: Callable[[], int]
+        self,
+        settings: GatewaySettings,
+        timers: Timers,
+        instance_count: Callable[[], int],
     ) -> None:
         self._settings = settings
         self._timers = timers
-        self._instances = instances
+        self._instance_count = instance_count
         self._windows: dict[str, RetryWindow] = {}
 
     def configure(self, settings: GatewaySettings) -> None:
-        """Apply changed settings; requests and retries so far still count."""
+        """Apply changed settings; past requests and retries still count."""
         self._settings = settings
         for window in self._windows.values():
             window.configure(
@@ -39,13 +42,13 @@
             )
 
     def record_request(self, service: str, organisation: str) -> None:
-        """Count a caller's request to a service."""
+        """Record a caller's request to a service, which adds to its budget."""
         self._window(service).record_request(self._timers.now(), organisation)
 
     def take(self, service: str, organisation: str) -> bool:
-        """Count one more attempt for an organisation if the budget allows it."""
+        """Take one retry from the budget; return False if none is left."""
         window = self._window(service)
-        return window.take(self._timers.now(), self._instances(), organisation)
+        return window.take(self._timers.now(), self._instance_count(), organisation)
 
     def _window(self, service: str) -> RetryWindow:
         window = self._windows.get(service)
--- a/borageworks/gateway/route.py
+++ b/borageworks/gateway/route.py
@@ -1,4 +1,4 @@
-"""A route: which service runs a request, and what may be repeated."""
+"""Routes: which service handles a request, and whether it may be retried."""
 
 from __future__ import annotations
 
@@ -7,7 +7,11 @@
 
 
 class Repeat(Enum):
-    """What may be done again after a failure that hides whether a request ran."""
+    """What may be sent again after a failure that leaves the execution unknown.
+
+    NEVER allows no retry, WHOLE allows a retry of the whole request, and RESUME a retry
+    that continues the event stream after the last event received.
+    """
 
     NEVER = "never"
     WHOLE = "whole"
@@ -16,7 +20,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """A service of a route and its part of the route's requests."""
+    """A service of a route, with its relative weight for random selection."""
 
     service: str
     weight: float
@@ -29,21 +33,22 @@
     Parameters
     ----------
     name, host, prefix
-        Name, and what selects the route; the prefix starts and ends with a slash.
+        Name, and the host and path prefix that it matches; the prefix starts and ends
+        with a slash.
     repeat
-        What may be repeated.
+        What may be retried.
     stream
-        Whether answers are event streams.
+        Whether responses are event streams.
     timeout_s
-        Longest time from the request to the end of its answer.
+        Maximum time from the request to the end of its response.
     aim_s
-        Time in which the answer, or the first event of a stream, is of full use.
+        Target latency of the response, or of the first event of a stream.
     max_attempts
-        Number of endpoints that one request may be sent to.
+        Maximum number of endpoints that one request is sent to.
     public
         Whether requests need no API key.
     prompts
-        Whether requests describe a prompt whose parts endpoints keep in memory.
+        Whether requests describe a prompt whose parts endpoints cache.
     targets
         Services with their weights.
     """
--- a/borageworks/gateway/routes.py
+++ b/borageworks/gateway/routes.py
@@ -17,18 +17,20 @@
     """
 
     def __init__(self, routes: Iterable[Route]) -> None:
-        self._hosts: dict[str, dict[str, Route]] = {}
+        self._routes_by_host: dict[str, dict[str, Route]] = {}
         for route in routes:
-            self._hosts.setdefault(route.host.lower(), {})[route.prefix] = route
+            self._routes_by_host.setdefault(route.host.lower(), {})[route.prefix] = (
+                route
+            )
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of `path`, None without one."""
-        prefixes = self._hosts.get(host)
-        if prefixes is None:
+        """Return the route with the longest prefix of `path`, None if there is none."""
+        routes_by_prefix = self._routes_by_host.get(host)
+        if routes_by_prefix is None:
             return None
         end = len(path)
         while (end := path.rfind("/", 0, end)) >= 0:
-            route = prefixes.get(path[: end + 1])
+            route = routes_by_prefix.get(path[: end + 1])
             if route is not None:
                 return route
         return None
--- a/borageworks/gateway/settings.py
+++ b/borageworks/gateway/settings.py
@@ -22,32 +22,32 @@
     instance, domain, host
         Name of the instance, its failure domain and its IP address.
     callers, status, relay
-        Addresses for callers, for readiness and metrics, and for other instances that
-        cannot reach the store.
+        Listening addresses for callers, for readiness and metrics, and for other
+        instances that cannot reach the store.
     peer_port
-        Port for links between instances.
+        Port for connections between instances.
     seeds
         Relay addresses of some instances, which may be stale.
     store
         Address of the platform's store.
     capacity
-        Processor of the instance, in cores.
+        Processor capacity of the instance, in cores.
     apply_s
-        Time in which a new configuration has to be in force.
+        Maximum time until a new configuration is applied.
     contact_s
-        Time after a disturbance in which bounds do not yet hold.
+        Time after a fault during which the guaranteed bounds do not hold yet.
     shutdown_s
-        Time between the request to stop and the kill.
+        Time between SIGTERM and SIGKILL.
     lag_limit_s
-        Mean lag of the loop above which new requests are refused.
+        Mean event loop lag above which the instance counts as overloaded.
     retry_ratio, retry_window_s, retry_extra
-        Retries of the whole fleet to one service: in each window of that many seconds
-        at most `retry_ratio` a request and `retry_extra` more.
+        Retry budget of the fleet for one service: in each window, at most `retry_ratio`
+        retries for each request, and `retry_extra` more.
     metrics_port
-        Port for metrics beside the status address, None for the latter alone.
+        Additional port for metrics, None if only the status address serves them.
     balancer_lag_s
-        Time in which the balancer still sends new connections to an instance that is
-        not ready any more.
+        Time for which the load balancer still sends new connections to an instance
+        that is no longer ready.
     """
 
     instance: str
--- a/borageworks/gateway/shutdown.py
+++ b/borageworks/gateway/shutdown.py
@@ -1,25 +1,25 @@
-"""What an instance still does between the request to stop and its end."""
+"""Decides which requests are accepted during a graceful shutdown."""
 
 from __future__ import annotations
 
 from borageworks.gateway.settings import GatewaySettings
 
-# Part of the time until the kill that running requests may use.
+# Fraction of the time until SIGKILL that running requests may use.
 DRAIN_RATIO = 0.93
 
 
 class Shutdown:
-    """Decides what an instance still accepts while it stops.
+    """Decides which requests an instance accepts during a graceful shutdown.
 
-    The balancer sends new connections until it has noticed, and callers use their open
-    connections until they are closed. Both are served, but from the moment at which the
-    balancer is expected to have noticed only requests that end in time are taken:
-    others go to another instance at once.
+    The load balancer sends new connections until it detects the shutdown, and callers
+    use their open connections until these are closed. Both are served. Once the load
+    balancer is expected to send no more, requests that might not complete in time are
+    refused, so that callers send them to another instance at once.
 
     Parameters
     ----------
     settings
-        Time until the kill, and the balancer's delay.
+        Provide the time until SIGKILL and the delay of the load balancer.
     """
 
     def __init__(self, settings: GatewaySettings) -> None:
@@ -28,19 +28,19 @@
 
     @property
     def begun(self) -> bool:
-        """Whether the instance is stopping."""
+        """Whether the shutdown has begun."""
         return self._begun_at is not None
 
     @property
     def ends_at(self) -> float:
-        """Time at which running requests are given up; infinite before `begin`."""
+        """Time at which running requests are aborted; infinite before `begin`."""
         if self._begun_at is None:
             return float("inf")
         return self._begun_at + DRAIN_RATIO * self._settings.shutdown_s
 
     @property
-    def unnoticed_until(self) -> float:
-        """Time until which the balancer may send new connections."""
+    def balancer_updated_at(self) -> float:
+        """Time at which the load balancer sends no more new connections."""
         if self._begun_at is None:
             return float("inf")
         return self._begun_at + self._settings.balancer_lag_s
@@ -50,10 +50,10 @@
         self._settings = settings
 
     def begin(self, now: float) -> None:
-        """Note the request to stop."""
+        """Begin the shutdown; later calls have no effect."""
         if self._begun_at is None:
             self._begun_at = now
 
-    def accepts(self, now: float, longest_s: float) -> bool:
-        """Return whether a request that takes at most `longest_s` is taken."""
-        return now < self.unnoticed_until or now + longest_s < self.ends_at
+    def accepts(self, now: float, max_duration_s: float) -> bool:
+        """Return whether to accept a request that takes at most `max_duration_s`."""
+        return now < self.balancer_updated_at or now + max_duration_s < self.ends_at
--- a/borageworks/gateway/tests/test_metrics_table.py
+++ b/borageworks/gateway/tests/test_metrics_table.py
@@ -1,4 +1,4 @@
-"""Compares the metrics that the gateway counts with the operations page."""
+"""Compares the metrics of the gateway with the operations page."""
 
 import re
 from pathlib import Path
@@ -9,23 +9,23 @@
 
 ROOT = Path(borageworks.__file__).parent
 PAGE = ROOT.parent / "docs" / "OPERATIONS.md"
-# Counted by parts that the gateway shares; the page of the routers lists them.
+# Metrics of packages shared with the routers are listed on the routers' page instead.
 PACKAGES = ("gateway", "platform", "placement")
-CALL = re.compile(r'metrics\.(count|gauge|observe)\(\s*"([a-z_]+)"')
+METRIC_CALL = re.compile(r'metrics\.(count|gauge|observe)\(\s*"([a-z_]+)"')
 SUFFIX = {"count": "_total", "gauge": "", "observe": "_seconds"}
 
 
 class MetricsTableTest(TestCase):
     def test_every_metric_is_documented(self):
-        """Guards against a counter that nobody can find when it matters."""
+        """Guards against undocumented metrics."""
         page = PAGE.read_text()
-        counted = {
+        recorded = {
             name + SUFFIX[kind]
             for package in PACKAGES
             for path in (ROOT / package).rglob("*.py")
             if "tests" not in path.parts
-            for kind, name in CALL.findall(path.read_text())
+            for kind, name in METRIC_CALL.findall(path.read_text())
         }
-        self.assertTrue(len(counted) > 20)
-        missing = {name for name in counted if f"`{name}" not in page}
-        self.assertEqual(set(), missing)
+        self.assertTrue(len(recorded) > 20)
+        undocumented = {name for name in recorded if f"`{name}" not in page}
+        self.assertEqual(set(), undocumented)
--- a/borageworks/gateway/tests/test_organisation_tally.py
+++ b/borageworks/gateway/tests/test_organisation_tally.py
@@ -1,20 +1,20 @@
-"""Tests of the log line that sums up refusals by organisation."""
+"""Tests of the log line that summarises refusals by organisation."""
 
 from eliot.testing import capture_logging
 from testtools import TestCase
 
 from borageworks.gateway.organisation_tally import (
-    NAMED_ORGANISATIONS,
+    MAX_NAMED_ORGANISATIONS,
     OrganisationTally,
 )
 
 
 class OrganisationTallyTest(TestCase):
     @capture_logging(None)
-    def test_names_who_was_refused_most(self, logger):
-        """Guards against an incident whose logs do not tell whom it hit."""
+    def test_names_organisations_with_most_refusals(self, logger):
+        """Guards against logs that do not name the affected organisations."""
         tally = OrganisationTally("callers", "requests")
-        for number in range(NAMED_ORGANISATIONS + 3):
+        for number in range(MAX_NAMED_ORGANISATIONS + 3):
             tally.ask(f"o{number:02}", 10)
         tally.refuse("o07", 4)
         tally.refuse("o18", 2)
@@ -29,12 +29,12 @@
                 line["organisations"]["o18"],
             ),
         )
-        self.assertEqual(NAMED_ORGANISATIONS, len(line["organisations"]))
+        self.assertEqual(MAX_NAMED_ORGANISATIONS, len(line["organisations"]))
         self.assertEqual([3, 30, 0], line["others"])
 
     @capture_logging(None)
-    def test_writes_nothing_while_nobody_is_refused(self, logger):
-        """Guards against a line a second from each instance of a calm fleet."""
+    def test_logs_nothing_without_refusals(self, logger):
+        """Guards against a log line a second from each instance without refusals."""
         tally = OrganisationTally("callers", "requests")
         tally.ask("o")
         tally.report()
--- a/borageworks/gateway/upstream.py
+++ b/borageworks/gateway/upstream.py
@@ -15,41 +15,43 @@
 from borageworks.exceptions import EndpointReplyIncompleteError
 from borageworks.gateway.endpoint import Endpoint
 
-# Lets one lost packet be sent again on a local network before another endpoint is
-# tried; the first retransmission of TCP comes after a second.
+# Allows for one packet lost on a local network, which TCP retransmits after one second,
+# before another endpoint is tried.
 CONNECT_TIMEOUT_S = 1.2
-# Shorter than the idle timeout of common servers, so that a kept connection is rarely
-# closed by the endpoint at the moment of its next use.
-KEEPALIVE_S = 4.0
+# Shorter than the idle timeout of common servers, so that an endpoint rarely closes a
+# pooled connection at the moment when it is reused.
+KEEPALIVE_TIMEOUT_S = 4.0
 MAX_HEADER_BYTES = 16_384
 
 
 class Upstream:
-    """Connections to endpoints.
+    """HTTP client for endpoints.
 
-    Requests that must not be repeated get a fresh connection each: a failure to connect
-    is then known to have happened before the request was sent, and no late answer to an
-    earlier request can be on the connection.
+    Requests that must not be retried use a new connection each: a failure to connect
+    then proves that the request was not sent, and the connection cannot carry a late
+    response to an earlier request.
     """
 
     def __init__(self) -> None:
-        self._kept: aiohttp.ClientSession | None = None
-        self._fresh: aiohttp.ClientSession | None = None
+        self._pooled: aiohttp.ClientSession | None = None
+        self._unpooled: aiohttp.ClientSession | None = None
 
     def start(self) -> None:
-        """Create the client sessions on the running loop."""
-        self._kept = _session(
+        """Create the client sessions on the running event loop."""
+        self._pooled = _new_session(
             BoundedConnector(
-                limit=0, keepalive_timeout=KEEPALIVE_S, socket_factory=open_socket
+                limit=0,
+                keepalive_timeout=KEEPALIVE_TIMEOUT_S,
+                socket_factory=open_socket,
             )
         )
-        self._fresh = _session(
+        self._unpooled = _new_session(
             BoundedConnector(limit=0, force_close=True, socket_factory=open_socket)
         )
 
     async def stop(self) -> None:
         """Close all connections."""
-        for session in (self._kept, self._fresh):
+        for session in (self._pooled, self._unpooled):
             if session is not None:
                 await session.close()
 
@@ -64,29 +66,29 @@
         *,
         fresh: bool,
     ) -> AsyncIterator[aiohttp.ClientResponse]:
-        """Send a request; failures inside the block become typed errors.
+        """Send a request; failures inside the block are raised as typed errors.
 
         Parameters
         ----------
         endpoint
-            Receiver.
+            Endpoint to send the request to.
         method, target
-            Request line; the target is sent as it is.
+            Method and target of the request line; the target is sent unchanged.
         headers
-            Headers in order.
+            Headers in the order in which they are sent.
         body
-            Whole body, or None.
+            Complete body, or None.
         fresh
             Whether to use a new connection.
 
         Raises
         ------
         EndpointUnreachableError
-            If no connection was made, so that the request was certainly not sent.
+            If no connection was established, so that the request was not sent.
         EndpointFailedError
-            Any other failure; the request may have run.
+            On any other failure; the request may have been executed.
         """
-        session = self._fresh if fresh else self._kept
+        session = self._unpooled if fresh else self._pooled
         assert session is not None
         url = yarl.URL(f"http://{endpoint.host}:{endpoint.port}{target}", encoded=True)
         with typed_failures(endpoint.id):
@@ -101,8 +103,8 @@
                 try:
                     yield response
                 except BaseException:
-                    # A connection in the middle of an answer is of no further use, and
-                    # closing it tells the endpoint to stop.
+                    # A connection with an unread response cannot be reused, and closing
+                    # it signals the endpoint to stop.
                     response.close()
                     raise
 
@@ -113,16 +115,16 @@
     Raises
     ------
     EndpointReplyIncompleteError
-        If the body has no length and its connection was reset: the HTTP library takes
-        any end of such a connection for the end of the body.
+        If the body has no stated length and the connection was reset: aiohttp treats
+        any loss of such a connection as the end of the body.
     """
     connection = response.connection
     protocol = connection.protocol if connection is not None else None
     while data := await response.content.readany():
         yield data
-    failure = protocol.exception() if protocol is not None else None
-    if isinstance(failure, OSError) and not _has_length(response):
-        raise EndpointReplyIncompleteError(f"the connection was reset: {failure!r}")
+    error = protocol.exception() if protocol is not None else None
+    if isinstance(error, OSError) and not _has_length(response):
+        raise EndpointReplyIncompleteError(f"the connection was reset: {error!r}")
 
 
 def _has_length(response: aiohttp.ClientResponse) -> bool:
@@ -130,7 +132,7 @@
     return "Content-Length" in headers or "Transfer-Encoding" in headers
 
 
-def _session(connector: aiohttp.TCPConnector) -> aiohttp.ClientSession:
+def _new_session(connector: aiohttp.TCPConnector) -> aiohttp.ClientSession:
     return aiohttp.ClientSession(
         connector=connector,
         cookie_jar=aiohttp.DummyCookieJar(),
