--- a/borageworks/fair/aggregator.py
+++ b/borageworks/fair/aggregator.py
@@ -7,20 +7,20 @@
 
 from borageworks.fair.counter import ServiceCounter
 from borageworks.fair.ledger import ServiceLedger
-from borageworks.fair.level import Level
+from borageworks.fair.virtual_time_record import VirtualTimeRecord
 from borageworks.wire.messages import ServiceError, ServiceReport
 
 
 @dataclass(frozen=True, slots=True)
-class TellOwners:
-    """Send `error` to each of `owners`."""
+class OwnerNotification:
+    """Error of one organisation and the owners to which it is sent."""
 
     owners: tuple[str, ...]
     error: ServiceError
 
 
 @dataclass(slots=True)
-class _Holding:
+class _ReportedDemand:
     reported_at: float
     owners: int
 
@@ -29,14 +29,16 @@
     """Aggregator of one pool in one failure domain.
 
     Owners of the domain report their counters; aggregators of other domains report
-    the sums and levels of theirs. Counters only grow, so repeated, late or reordered
-    reports do no harm, and after a partition the next report of a domain carries all
-    that it served.
+    the sums and virtual times of theirs. Counters only grow, so repeated, late or
+    reordered reports have no effect, and the first report of a domain after a
+    partition covers all that it served meanwhile.
 
     Parameters
     ----------
-    pool, domain
-        What is aggregated.
+    pool
+        Pool whose reports are aggregated.
+    domain
+        Failure domain of the aggregator.
     expiry_s
         Seconds after which a report no longer counts as demand.
     """
@@ -48,70 +50,77 @@
         self._ledger = ServiceLedger()
         self._domain_units: dict[str, float] = {}
         self._counters: dict[tuple[str, int, str], float] = {}
-        # Reporter (owner of this domain, or another domain) by organisation.
-        self._holdings: dict[str, dict[str, _Holding]] = {}
+        # By organisation and reporter: an owner of this domain, or "@" and the id of
+        # another domain.
+        self._demands: dict[str, dict[str, _ReportedDemand]] = {}
         self._unsent: set[str] = set()
-        self._other_levels: list[Level] = []
+        self._remote_records: list[VirtualTimeRecord] = []
 
     def __len__(self) -> int:
-        """Return the number of counters held."""
+        """Return the number of stored counters."""
         return len(self._ledger)
 
     def report(self, now: float, report: ServiceReport) -> None:
-        """Take over a report."""
+        """Apply a report of an owner or of another domain."""
         local = report.domain == self._domain
         reporter = report.owner if local else f"@{report.domain}"
-        name = report.organisation
+        organisation = report.organisation
         if local:
             self._count_local(report)
         self._ledger.merge(
-            ServiceCounter(reporter, report.incarnation, name, report.units)
+            ServiceCounter(reporter, report.incarnation, organisation, report.units)
         )
-        holdings = self._holdings.setdefault(name, {})
+        demands = self._demands.setdefault(organisation, {})
         if report.backlogged:
-            holdings[reporter] = _Holding(now, max(1, report.owners))
+            demands[reporter] = _ReportedDemand(now, max(1, report.owners))
         else:
-            holdings.pop(reporter, None)
+            demands.pop(reporter, None)
         if local:
-            self._unsent.add(name)
+            self._unsent.add(organisation)
         elif report.share > 0:
-            self._other_levels.append(
-                Level(name, report.offset, report.share, report.backlogged)
+            self._remote_records.append(
+                VirtualTimeRecord(
+                    organisation, report.offset, report.share, report.backlogged
+                )
             )
 
     def forget(self, owner: str) -> None:
-        """Drop an owner that left; what it served stays in the totals."""
+        """Remove an owner that left; the units it served stay in the totals."""
         self._ledger.retire(owner)
-        for holdings in self._holdings.values():
-            holdings.pop(owner, None)
+        for demands in self._demands.values():
+            demands.pop(owner, None)
 
-    def errors(self, now: float, shares: Mapping[str, float]) -> list[TellOwners]:
-        """Return the error of each backlogged organisation for this domain's owners."""
+    def errors(
+        self, now: float, shares: Mapping[str, float]
+    ) -> list[OwnerNotification]:
+        """Return the errors of backlogged organisations for this domain's owners."""
         self._expire(now)
-        others, self._other_levels = self._other_levels, []
-        self._ledger.levels.merge(others, self._ledger.totals())
-        errors = self._ledger.errors(shares, self._holdings.keys())
+        remote_records, self._remote_records = self._remote_records, []
+        self._ledger.virtual_times.merge(remote_records, self._ledger.totals())
+        errors = self._ledger.errors(shares, self._demands.keys())
         totals = self._ledger.totals()
         return [
-            TellOwners(
+            OwnerNotification(
                 tuple(
                     reporter
-                    for reporter in self._holdings[name]
+                    for reporter in self._demands[organisation]
                     if not reporter.startswith("@")
                 ),
                 ServiceError(
                     self._pool,
-                    name,
+                    organisation,
                     error,
-                    sum(holding.owners for holding in self._holdings[name].values()),
-                    totals.get(name, 0.0),
+                    sum(
+                        demand.owners for demand in self._demands[organisation].values()
+                    ),
+                    totals.get(organisation, 0.0),
                 ),
             )
-            for name, error in errors.items()
+            for organisation, error in errors.items()
         ]
 
     def domain_reports(self) -> list[ServiceReport]:
-        """Return the domain's sums that changed since the last call."""
+        """Return the domain's sums for organisations reported since the last call."""
         unsent, self._unsent = self._unsent, set()
         return self._domain_reports(sorted(unsent))
 
@@ -121,42 +130,50 @@
 
     def _count_local(self, report: ServiceReport) -> None:
         key = report.owner, report.incarnation, report.organisation
-        grown = report.units - self._counters.get(key, 0.0)
-        if grown > 0:
+        increase = report.units - self._counters.get(key, 0.0)
+        if increase > 0:
             self._counters[key] = report.units
             self._domain_units[report.organisation] = (
-                self._domain_units.get(report.organisation, 0.0) + grown
+                self._domain_units.get(report.organisation, 0.0) + increase
             )
 
-    def _domain_reports(self, names: list[str]) -> list[ServiceReport]:
-        levels = {level.organisation: level for level in self._ledger.levels.levels()}
-        return [self._domain_report(name, levels.get(name)) for name in names]
+    def _domain_reports(self, organisations: list[str]) -> list[ServiceReport]:
+        records = {
+            record.organisation: record
+            for record in self._ledger.virtual_times.records()
+        }
+        return [
+            self._domain_report(organisation, records.get(organisation))
+            for organisation in organisations
+        ]
 
-    def _domain_report(self, name: str, level: Level | None) -> ServiceReport:
+    def _domain_report(
+        self, organisation: str, record: VirtualTimeRecord | None
+    ) -> ServiceReport:
         owners = sum(
             1
-            for reporter in self._holdings.get(name, {})
+            for reporter in self._demands.get(organisation, {})
             if not reporter.startswith("@")
         )
         return ServiceReport(
             pool=self._pool,
-            organisation=name,
+            organisation=organisation,
             owner="",
             incarnation=0,
-            units=self._domain_units.get(name, 0.0),
+            units=self._domain_units.get(organisation, 0.0),
             backlogged=owners > 0,
             domain=self._domain,
             owners=owners,
-            offset=0.0 if level is None else level.offset,
-            share=0.0 if level is None else level.share,
+            offset=0.0 if record is None else record.offset,
+            share=0.0 if record is None else record.share,
         )
 
     def _expire(self, now: float) -> None:
-        oldest = now - self._expiry_s
-        for name, holdings in list(self._holdings.items()):
-            for reporter, holding in list(holdings.items()):
-                if holding.reported_at < oldest:
-                    del holdings[reporter]
-                    self._unsent.add(name)
-            if not holdings:
-                del self._holdings[name]
+        cutoff = now - self._expiry_s
+        for organisation, demands in list(self._demands.items()):
+            for reporter, demand in list(demands.items()):
+                if demand.reported_at < cutoff:
+                    del demands[reporter]
+                    self._unsent.add(organisation)
+            if not demands:
+                del self._demands[organisation]
--- a/borageworks/fair/backlog.py
+++ b/borageworks/fair/backlog.py
@@ -10,17 +10,17 @@
 @dataclass(slots=True)
 class _EntryDemand:
     waiting: int
-    start: float
-    since: float
+    start_tag: float
+    waiting_since: float
     sequence: int
 
 
 class Backlog:
     """Round robin over entry instances, weighted by their waiting counts.
 
-    Each entry has a start tag and is ordered by `start + 1 / waiting`; the tag of the
-    entry that is taken becomes the organisation's tag, at which new entries start.
-    Between equal tags the demand that has waited longest goes first.
+    Each entry has a start tag and is ordered by `start_tag + 1 / waiting`. That sum of
+    the entry taken last is the start tag of new entries. Ties go to the entry that
+    has waited longest.
     """
 
     __slots__ = ("_demands", "_heap", "_sequence", "_tag")
@@ -32,11 +32,11 @@
         self._sequence = 0
 
     def __bool__(self) -> bool:
-        """Return whether any request waits."""
+        """Return whether any request is waiting."""
         return bool(self._demands)
 
     def set(self, now: float, entry: str, waiting: int) -> None:
-        """Replace the number of requests that wait at an entry."""
+        """Set the number of requests waiting at an entry instance."""
         if waiting <= 0:
             self.drop(entry)
             return
@@ -49,13 +49,13 @@
         self._push(entry, demand)
 
     def take(self) -> str | None:
-        """Remove one waiting request and return its entry."""
-        entry = self._heap.least()
+        """Remove one waiting request; return its entry instance, or None if empty."""
+        entry = self._heap.peek()
         if entry is None:
             return None
         demand = self._demands[entry]
-        self._tag = demand.start + 1 / demand.waiting
-        demand.start = self._tag
+        self._tag = demand.start_tag + 1 / demand.waiting
+        demand.start_tag = self._tag
         demand.waiting -= 1
         if demand.waiting:
             self._push(entry, demand)
@@ -64,10 +64,10 @@
         return entry
 
     def drop(self, entry: str) -> None:
-        """Forget the demand of an entry."""
+        """Remove the demand of an entry instance."""
         self._demands.pop(entry, None)
         self._heap.remove(entry)
 
     def _push(self, entry: str, demand: _EntryDemand) -> None:
-        tag = demand.start + 1 / demand.waiting
-        self._heap.set(entry, (tag, demand.since, demand.sequence))
+        tag = demand.start_tag + 1 / demand.waiting
+        self._heap.set(entry, (tag, demand.waiting_since, demand.sequence))
--- a/borageworks/fair/cost.py
+++ b/borageworks/fair/cost.py
@@ -5,14 +5,14 @@
 from collections import OrderedDict
 from dataclasses import dataclass
 
-# The mean follows a change of workload within some tens of requests.
+# The mean follows a workload change within a few tens of requests.
 MOVING_AVERAGE_WEIGHT = 0.05
-# Number of observations that the pool-wide prior counts as.
+# The pool-wide prior weighs as much as this number of observations.
 PRIOR_OBSERVATIONS = 4.0
-# Part of the prior that a hint replaces, and the factor to which a hint is limited, so
-# a caller cannot move the estimate of its first requests by more than this.
+# A hint replaces this fraction of the prior and is limited to this factor above or
+# below it, which bounds how far a caller can move the estimate of its first requests.
 HINT_WEIGHT = 0.25
-HINT_LIMIT = 4.0
+HINT_LIMIT_RATIO = 4.0
 
 
 @dataclass(slots=True)
@@ -27,15 +27,15 @@
 
 
 class CostEstimator:
-    """Moving average per organisation and service of one pool.
+    """Exponential moving average per organisation and service of one pool.
 
     Parameters
     ----------
     initial_units
-        Estimate before anything was observed, in service units.
+        Estimate before the first observation, in service units.
     capacity
-        Number of (organisation, service) averages held; the least recently used are
-        dropped and fall back to the pool-wide average.
+        Maximum number of (organisation, service) averages. The least recently used are
+        evicted, and their estimates fall back to the pool-wide average.
     """
 
     def __init__(self, initial_units: float = 100.0, capacity: int = 10_000) -> None:
@@ -46,15 +46,15 @@
         self._averages: OrderedDict[tuple[str, str], _Average] = OrderedDict()
 
     def __len__(self) -> int:
-        """Return the number of averages held."""
+        """Return the number of stored averages."""
         return len(self._averages)
 
     def estimate(self, organisation: str, service: str, hint: float | None) -> float:
         """Return the expected service units; a hint counts only as a weak prior."""
         prior = self._pool.mean
         if hint is not None:
-            limited = min(max(hint, prior / HINT_LIMIT), prior * HINT_LIMIT)
-            prior += HINT_WEIGHT * (limited - prior)
+            clamped = min(max(hint, prior / HINT_LIMIT_RATIO), prior * HINT_LIMIT_RATIO)
+            prior += HINT_WEIGHT * (clamped - prior)
         key = (organisation, service)
         average = self._averages.get(key)
         if average is None:
@@ -64,7 +64,7 @@
         return prior + weight * (average.mean - prior)
 
     def observe(self, organisation: str, service: str, units: float) -> None:
-        """Record the real cost of a request that ended."""
+        """Record the actual cost of a completed request."""
         units = max(units, 0.0)
         self._pool.add(units)
         key = (organisation, service)
--- a/borageworks/fair/counter.py
+++ b/borageworks/fair/counter.py
@@ -1,4 +1,4 @@
-"""One grow-only counter of a service ledger."""
+"""Grow-only counter of a service ledger."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 class ServiceCounter:
     """Service units that an organisation received from one owner incarnation.
 
-    With `folded` the units are the sum over all incarnations up to this one.
+    If `folded`, the units are the sum over all incarnations up to this one.
     """
 
     owner: str
--- a/borageworks/fair/heap.py
+++ b/borageworks/fair/heap.py
@@ -6,15 +6,16 @@
 
 Priority = tuple[float, ...]
 
-_SPARE_ITEMS = 64
+# Avoids frequent rebuilds of small heaps.
+_REBUILD_SLACK_ITEMS = 64
 
 
 class IndexedHeap:
-    """Items ordered by a priority tuple, least first.
+    """Min-heap of items ordered by a priority tuple.
 
-    A changed priority is pushed again and the old one skipped when it surfaces, so each
-    operation is O(log n) amortised. The heap is rebuilt once stale items outnumber the
-    live ones, which bounds its memory.
+    A changed priority is pushed as a new entry, and outdated entries are skipped when
+    they reach the top, so each operation is O(log n) amortised. The heap is rebuilt
+    once outdated entries outnumber the current ones, which bounds its memory.
     """
 
     __slots__ = ("_heap", "_priorities")
@@ -37,18 +38,18 @@
             return
         self._priorities[item] = priority
         heapq.heappush(self._heap, (priority, item))
-        if len(self._heap) > 2 * len(self._priorities) + _SPARE_ITEMS:
-            self._heap = [(kept, name) for name, kept in self._priorities.items()]
+        if len(self._heap) > 2 * len(self._priorities) + _REBUILD_SLACK_ITEMS:
+            self._heap = [(current, name) for name, current in self._priorities.items()]
             heapq.heapify(self._heap)
 
     def remove(self, item: str) -> None:
-        """Remove the item; an absent one is ignored."""
+        """Remove the item if present."""
         self._priorities.pop(item, None)
         if not self._priorities:
             self._heap.clear()
 
-    def least(self) -> str | None:
-        """Return the item with the least priority, or None when empty."""
+    def peek(self) -> str | None:
+        """Return the item with the minimum priority, or None if empty."""
         while self._heap:
             priority, item = self._heap[0]
             if self._priorities.get(item) == priority:
--- a/borageworks/fair/ledger.py
+++ b/borageworks/fair/ledger.py
@@ -1,4 +1,4 @@
-"""Service received, as grow-only counters."""
+"""Ledger of the service that organisations received, as grow-only counters."""
 
 from __future__ import annotations
 
@@ -7,127 +7,136 @@
 from dataclasses import dataclass, field
 
 from borageworks.fair.counter import ServiceCounter
-from borageworks.fair.levels import ServiceLevels
 from borageworks.fair.snapshot import LedgerSnapshot
+from borageworks.fair.virtual_times import FleetVirtualTimes
 
-# Owners whose late counters are recognised after they were retired.
-RETIRED_OWNERS = 4096
+# Number of retired owners whose late counters are still recognised and ignored.
+MAX_RETIRED_OWNERS = 4096
 
 
 @dataclass(slots=True)
-class _Owner:
-    # Incarnations up to `folded` are summed in `base` and no longer held one by one.
-    folded: int = -1
-    base: dict[str, float] = field(default_factory=dict)
-    live: dict[int, dict[str, float]] = field(default_factory=dict)
+class _OwnerState:
+    # Incarnations up to this one are summed in `folded_units`.
+    folded_incarnation: int = -1
+    folded_units: dict[str, float] = field(default_factory=dict)
+    units_by_incarnation: dict[int, dict[str, float]] = field(default_factory=dict)
 
 
 class ServiceLedger:
     """Counters per owner, incarnation and organisation.
 
-    Each counter is a lower bound of what the owner incarnation has served, and a merge
-    keeps the larger one, so repeated and reordered merges are harmless. When an owner
-    reports a newer incarnation, all but its latest two are folded into one base; later
-    values for folded incarnations are ignored, which keeps totals from counting twice.
-    `counters` leaves out what retired owners had served; `snapshot` has it.
+    Each counter is a lower bound of the units that the owner incarnation has served,
+    and a merge keeps the larger one, so repeated and reordered merges have no effect.
+    When an owner reports a newer incarnation, all but its latest two are folded into
+    one sum per organisation. Later values of folded incarnations are ignored, so no
+    service is counted twice. `snapshot` includes the service of retired owners,
+    `counters` does not.
     """
 
     def __init__(self) -> None:
-        self._owners: dict[str, _Owner] = {}
+        self._owners: dict[str, _OwnerState] = {}
         self._totals: dict[str, float] = {}
         self._retired: OrderedDict[str, int] = OrderedDict()
-        self._levels = ServiceLevels()
+        self._virtual_times = FleetVirtualTimes()
 
     @property
-    def levels(self) -> ServiceLevels:
-        """Levels behind `errors`, for a mean over several aggregators."""
-        return self._levels
+    def virtual_times(self) -> FleetVirtualTimes:
+        """Virtual times behind `errors`, to be exchanged with other aggregators."""
+        return self._virtual_times
 
     def __len__(self) -> int:
-        """Return the number of counters held."""
+        """Return the number of stored counters."""
         return sum(
-            len(owner.base) + sum(len(units) for units in owner.live.values())
-            for owner in self._owners.values()
+            len(state.folded_units)
+            + sum(len(units) for units in state.units_by_incarnation.values())
+            for state in self._owners.values()
         )
 
     def add(
         self, owner: str, incarnation: int, organisation: str, units: float
     ) -> float:
-        """Count service units of the caller's own incarnation; return its counter.
+        """Add served units to a counter and return its new value.
 
-        Only units that were served belong here, never an estimate, since a counter
-        cannot be reduced.
+        Only for counters that the calling process owns. Estimates must not be added,
+        since a counter cannot be reduced.
         """
         if units < 0:
-            raise ValueError(f"{units} units would reduce a grow-only counter")
-        held = self._owners.get(owner)
-        counters = held.live.get(incarnation, {}) if held else {}
+            raise ValueError(f"cannot add {units} units to a grow-only counter")
+        state = self._owners.get(owner)
+        counters = state.units_by_incarnation.get(incarnation, {}) if state else {}
         units += counters.get(organisation, 0.0)
         self.merge(ServiceCounter(owner, incarnation, organisation, units))
         return units
 
     def merge(self, counter: ServiceCounter) -> bool:
-        """Take over a counter where it is larger; return whether it was."""
-        owner = self._owners.get(counter.owner)
-        if owner is None:
+        """Merge a counter by maximum; return whether it increased."""
+        state = self._owners.get(counter.owner)
+        if state is None:
             if counter.incarnation <= self._retired.get(counter.owner, -1):
                 return False
-            owner = _Owner(folded=self._retired.pop(counter.owner, -1))
-            self._owners[counter.owner] = owner
+            state = _OwnerState(folded_incarnation=self._retired.pop(counter.owner, -1))
+            self._owners[counter.owner] = state
         if counter.folded:
-            self._fold(owner, counter.incarnation)
-            if counter.incarnation < owner.folded:
+            self._fold(state, counter.incarnation)
+            if counter.incarnation < state.folded_incarnation:
                 return False
-            units = owner.base
-        elif counter.incarnation <= owner.folded:
+            units = state.folded_units
+        elif counter.incarnation <= state.folded_incarnation:
             return False
         else:
-            units = owner.live.setdefault(counter.incarnation, {})
-        grown = counter.units - units.get(counter.organisation, 0.0)
-        if grown <= 0:
+            units = state.units_by_incarnation.setdefault(counter.incarnation, {})
+        increase = counter.units - units.get(counter.organisation, 0.0)
+        if increase <= 0:
             return False
         units[counter.organisation] = counter.units
         total = self._totals.get(counter.organisation, 0.0)
-        self._totals[counter.organisation] = total + grown
-        if len(owner.live) > 2:
-            self._fold(owner, sorted(owner.live)[-3])
+        self._totals[counter.organisation] = total + increase
+        if len(state.units_by_incarnation) > 2:
+            self._fold(state, sorted(state.units_by_incarnation)[-3])
         return True
 
     def retire(self, owner: str) -> None:
-        """Drop the counters of an owner that has left for good, keeping the totals."""
-        held = self._owners.pop(owner, None)
-        if held is None:
+        """Remove the counters of an owner that left for good; the totals stay."""
+        state = self._owners.pop(owner, None)
+        if state is None:
             return
-        self._bury(owner, max([held.folded, *held.live]))
+        self._record_retired(
+            owner, max([state.folded_incarnation, *state.units_by_incarnation])
+        )
 
     def counters(self) -> Iterator[ServiceCounter]:
-        """Return all counters, to be merged into another ledger."""
-        for name, owner in self._owners.items():
-            for organisation, units in owner.base.items():
-                yield ServiceCounter(name, owner.folded, organisation, units, True)
-            for incarnation, live in owner.live.items():
-                for organisation, units in live.items():
-                    yield ServiceCounter(name, incarnation, organisation, units)
+        """Yield all counters, to be merged into another ledger."""
+        for owner, state in self._owners.items():
+            for organisation, units in state.folded_units.items():
+                yield ServiceCounter(
+                    owner, state.folded_incarnation, organisation, units, True
+                )
+            for incarnation, counters in state.units_by_incarnation.items():
+                for organisation, units in counters.items():
+                    yield ServiceCounter(owner, incarnation, organisation, units)
 
     def snapshot(self) -> LedgerSnapshot:
-        """Return the whole state."""
+        """Return the complete state."""
         return LedgerSnapshot(
             dict(self._retired), tuple(self.counters()), dict(self._totals)
         )
 
     def merge_snapshot(self, snapshot: LedgerSnapshot) -> None:
-        """Take over the state of another ledger where it is larger.
+        """Merge the state of another ledger by maximum.
 
-        Once the counters are merged, a larger total can only come from owners that the
-        other ledger has retired, whose counters are ignored from here on.
+        After the counters are merged, a larger total can only come from owners that
+        the other ledger has retired, whose counters are ignored from then on.
         """
         for owner, incarnation in snapshot.retired.items():
-            held = self._owners.get(owner)
-            if held is None:
-                self._bury(owner, incarnation)
-            elif max([held.folded, *held.live]) <= incarnation:
+            state = self._owners.get(owner)
+            if state is None:
+                self._record_retired(owner, incarnation)
+            elif (
+                max([state.folded_incarnation, *state.units_by_incarnation])
+                <= incarnation
+            ):
                 self.retire(owner)
-                self._bury(owner, incarnation)
+                self._record_retired(owner, incarnation)
         for counter in snapshot.counters:
             self.merge(counter)
         for organisation, total in snapshot.totals.items():
@@ -141,30 +150,35 @@
     def errors(
         self, shares: Mapping[str, float], backlogged: Set[str]
     ) -> dict[str, float]:
-        """Return each backlogged organisation's distance from the mean.
+        """Return the error of each backlogged organisation.
 
         Parameters
         ----------
         shares
             Share of each organisation; 1 where absent.
         backlogged
-            Organisations that wait anywhere in the fleet.
+            Organisations with waiting requests anywhere in the fleet.
 
         Returns
         -------
         dict
-            Normalised service less the mean over the backlogged organisations.
+            Virtual time less the mean over the backlogged organisations, in normalised
+            units.
         """
-        self._levels.update(self._totals, shares, backlogged)
-        return self._levels.errors(self._levels.mean)
-
-    def _fold(self, owner: _Owner, incarnation: int) -> None:
-        for old in sorted(number for number in owner.live if number <= incarnation):
-            for organisation, units in owner.live.pop(old).items():
-                owner.base[organisation] = owner.base.get(organisation, 0.0) + units
-        owner.folded = max(owner.folded, incarnation)
-
-    def _bury(self, owner: str, incarnation: int) -> None:
+        self._virtual_times.update(self._totals, shares, backlogged)
+        return self._virtual_times.errors(self._virtual_times.mean)
+
+    def _fold(self, state: _OwnerState, incarnation: int) -> None:
+        for oldest in sorted(
+            known for known in state.units_by_incarnation if known <= incarnation
+        ):
+            for organisation, units in state.units_by_incarnation.pop(oldest).items():
+                state.folded_units[organisation] = (
+                    state.folded_units.get(organisation, 0.0) + units
+                )
+        state.folded_incarnation = max(state.folded_incarnation, incarnation)
+
+    def _record_retired(self, owner: str, incarnation: int) -> None:
         self._retired[owner] = max(incarnation, self._retired.get(owner, -1))
-        if len(self._retired) > RETIRED_OWNERS:
+        if len(self._retired) > MAX_RETIRED_OWNERS:
             self._retired.popitem(last=False)
--- a/borageworks/fair/load.py
+++ b/borageworks/fair/load.py
@@ -7,16 +7,18 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """What an endpoint says about its load.
+    """Load that an endpoint reports about itself.
 
     Parameters
     ----------
-    running, waiting
-        Requests that the endpoint runs, and those it holds back itself.
+    running
+        Number of requests that the endpoint executes.
+    waiting
+        Number of requests in the endpoint's own queue.
     token_interval_s
-        Recent seconds between generated tokens; 0.0 when there is none.
+        Recent mean seconds between generated tokens; 0.0 if not measured.
     incarnation
-        Changes when the endpoint restarts.
+        Identifier that changes when the endpoint restarts.
     """
 
     running: int
--- a/borageworks/fair/pick.py
+++ b/borageworks/fair/pick.py
@@ -1,4 +1,4 @@
-"""Choice of a fair queue."""
+"""Result of taking a request from a fair queue."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Pick:
-    """The organisation to serve next and the entry instance that holds its request."""
+    """Organisation to serve next and the entry instance at which its request waits."""
 
     entry: str
     organisation: str
--- a/borageworks/fair/queue.py
+++ b/borageworks/fair/queue.py
@@ -10,17 +10,18 @@
 from borageworks.fair.heap import IndexedHeap
 from borageworks.fair.pick import Pick
 
-# A running request is charged each second; after a minute without a charge none runs.
+# A running request is charged every second, so after a minute without a charge none of
+# the organisation's requests is running.
 IDLE_RETENTION_S = 60.0
 
 
 @dataclass(slots=True)
 class _Account:
     virtual_time: float
-    floor: float
+    refund_floor: float
     units: float = 0.0
-    order: int = 0
-    touched: float = 0.0
+    sequence: int = 0
+    last_used_at: float = 0.0
     backlog: Backlog = field(default_factory=Backlog)
 
 
@@ -28,16 +29,17 @@
     """Start-time fair queueing over organisations, weighted by share.
 
     The caller charges the estimated cost right after `take`, and later the difference
-    to the real cost. An organisation that was idle re-enters at the pool's virtual time
-    or at its own where that is later, so it keeps debt but no credit. `take`, `charge`
-    and `correct` are O(log n) amortised in the number of backlogged organisations.
+    to the actual cost. An organisation that was idle re-enters at the later of its own
+    and the pool's virtual time, so it keeps its debt but gains no credit. `take`,
+    `charge` and `correct` are O(log n) amortised in the number of backlogged
+    organisations.
 
     Parameters
     ----------
     correction_range
-        Normalised units by which `correct` may move an organisation away from the
-        pool's virtual time; it keeps corrections from accumulating while an
-        organisation cannot be served here.
+        Maximum distance in normalised units between the pool's virtual time and the
+        one to which `correct` moves an organisation. It keeps corrections from
+        accumulating while an organisation cannot be served by this owner.
     """
 
     def __init__(self, *, correction_range: float = math.inf) -> None:
@@ -48,50 +50,53 @@
         self._idle: OrderedDict[str, None] = OrderedDict()
         self._entries: dict[str, set[str]] = {}
         self._virtual_time = 0.0
-        self._order = 0
+        self._sequence = 0
         self._now = -math.inf
 
     @property
     def pool_virtual_time(self) -> float:
-        """Largest virtual time at which an organisation was picked."""
+        """Virtual time of the pool: the maximum at which an organisation was picked."""
         return self._virtual_time
 
     @property
-    def accounts(self) -> int:
+    def account_count(self) -> int:
         """Number of organisations with state."""
         return len(self._accounts)
 
     def set_share(self, organisation: str, share: float) -> None:
-        """Set the share; organisations without one have a share of 1."""
+        """Set the share of an organisation; the default is 1."""
         if not (share > 0 and math.isfinite(share)):
-            raise ValueError(f"share of organisation {organisation!r} is {share}")
+            raise ValueError(
+                f"share of organisation {organisation!r} must be positive and "
+                f"finite, got {share}"
+            )
         self._shares[organisation] = share
 
     def drop_share(self, organisation: str) -> None:
-        """Forget the share of an organisation that was deleted."""
+        """Remove the share of a deleted organisation."""
         self._shares.pop(organisation, None)
 
     def set_demand(
         self, now: float, entry: str, organisation: str, waiting: int
     ) -> None:
-        """Replace the number of requests of the organisation that wait at the entry."""
-        self._advance(now)
+        """Set the number of the organisation's requests that wait at the entry."""
+        self._advance_clock(now)
         if waiting <= 0:
-            self._withdraw(entry, organisation)
+            self._remove_demand(entry, organisation)
             return
-        account = self._account(organisation)
+        account = self._get_or_create_account(organisation)
         if not account.backlog:
             account.virtual_time = max(account.virtual_time, self._virtual_time)
-            account.floor = self._virtual_time
+            account.refund_floor = self._virtual_time
             self._idle.pop(organisation, None)
             self._requeue(organisation, account)
         account.backlog.set(now, entry, waiting)
         self._entries.setdefault(entry, set()).add(organisation)
 
     def take(self, now: float) -> Pick | None:
-        """Remove the request to serve next, or return None when none waits."""
-        self._advance(now)
-        organisation = self._heap.least()
+        """Remove and return the request to serve next, or None if none waits."""
+        self._advance_clock(now)
+        organisation = self._heap.peek()
         if organisation is None:
             return None
         account = self._accounts[organisation]
@@ -101,38 +106,42 @@
         if account.backlog:
             self._requeue(organisation, account)
         else:
-            self._retire(organisation, account)
+            self._set_idle(organisation, account)
         return Pick(entry, organisation)
 
     def serve(self, organisation: str) -> None:
-        """Note that a request of the organisation is served without `take`.
+        """Advance the pool's virtual time for a request served without `take`.
 
-        For callers that pick by `virtual_time`, since not every waiting request fits
-        the place that is free. The pool's virtual time stays behind organisations that
-        still wait: one that comes back must not queue behind them.
+        For callers that choose by `virtual_time` because not every waiting request
+        fits the free slot. The pool's virtual time does not pass that of a waiting
+        organisation, so one that re-enters is not queued behind those waiting.
         """
         tag = self.virtual_time(organisation)
-        behind = self._heap.least()
-        if behind is not None:
-            tag = min(tag, self._accounts[behind].virtual_time)
+        next_organisation = self._heap.peek()
+        if next_organisation is not None:
+            tag = min(tag, self._accounts[next_organisation].virtual_time)
         self._virtual_time = max(self._virtual_time, tag)
 
     def charge(self, organisation: str, units: float) -> None:
         """Add service units to an organisation; a refund is negative.
 
-        A refund cannot take the virtual time below that of the last re-entry:
-        otherwise an overestimated request from before an idle time would return as
-        credit.
+        A refund cannot lower the virtual time below that of the last re-entry.
+        Otherwise the refund for an overestimated request from before an idle period
+        would become credit.
         """
-        account = self._account(organisation)
+        account = self._get_or_create_account(organisation)
         account.units += units
-        moved = account.virtual_time + units / self._shares.get(organisation, 1.0)
-        account.virtual_time = max(moved, min(account.floor, account.virtual_time))
-        self._moved(organisation, account)
+        charged_time = account.virtual_time + units / self._shares.get(
+            organisation, 1.0
+        )
+        account.virtual_time = max(
+            charged_time, min(account.refund_floor, account.virtual_time)
+        )
+        self._update_position(organisation, account)
 
     def correct(self, organisation: str, delta: float) -> None:
-        """Move the virtual time by normalised units, within the correction range."""
-        account = self._account(organisation)
+        """Shift the virtual time by `delta` normalised units, within the range."""
+        account = self._get_or_create_account(organisation)
         before = account.virtual_time
         if delta > 0:
             limit = self._virtual_time + self._correction_range
@@ -140,13 +149,13 @@
         else:
             limit = self._virtual_time - self._correction_range
             account.virtual_time = min(before, max(before + delta, limit))
-        account.floor += account.virtual_time - before
-        self._moved(organisation, account)
+        account.refund_floor += account.virtual_time - before
+        self._update_position(organisation, account)
 
     def drop_entry(self, entry: str) -> None:
-        """Forget all demand of an entry instance."""
+        """Remove all demand of an entry instance."""
         for organisation in sorted(self._entries.get(entry, ())):
-            self._withdraw(entry, organisation)
+            self._remove_demand(entry, organisation)
 
     def backlogged(self) -> set[str]:
         """Return the organisations with waiting requests."""
@@ -166,61 +175,61 @@
             return account.virtual_time
         return max(account.virtual_time, self._virtual_time)
 
-    def _account(self, organisation: str) -> _Account:
+    def _get_or_create_account(self, organisation: str) -> _Account:
         account = self._accounts.get(organisation)
         if account is None:
             account = _Account(self._virtual_time, self._virtual_time)
-            account.touched = self._now
+            account.last_used_at = self._now
             self._accounts[organisation] = account
             self._idle[organisation] = None
         return account
 
     def _requeue(self, organisation: str, account: _Account) -> None:
-        self._order += 1
-        account.order = self._order
-        self._heap.set(organisation, (account.virtual_time, account.order))
+        self._sequence += 1
+        account.sequence = self._sequence
+        self._heap.set(organisation, (account.virtual_time, account.sequence))
 
-    def _moved(self, organisation: str, account: _Account) -> None:
+    def _update_position(self, organisation: str, account: _Account) -> None:
         if account.backlog:
-            self._heap.set(organisation, (account.virtual_time, account.order))
+            self._heap.set(organisation, (account.virtual_time, account.sequence))
         else:
-            account.touched = self._now
+            account.last_used_at = self._now
             self._idle.move_to_end(organisation)
 
-    def _withdraw(self, entry: str, organisation: str) -> None:
-        held = self._entries.get(entry)
-        if held is not None:
-            held.discard(organisation)
-            if not held:
+    def _remove_demand(self, entry: str, organisation: str) -> None:
+        organisations = self._entries.get(entry)
+        if organisations is not None:
+            organisations.discard(organisation)
+            if not organisations:
                 del self._entries[entry]
         account = self._accounts.get(organisation)
         if account is None or not account.backlog:
             return
         account.backlog.drop(entry)
         if not account.backlog:
-            self._retire(organisation, account)
+            self._set_idle(organisation, account)
 
-    def _retire(self, organisation: str, account: _Account) -> None:
+    def _set_idle(self, organisation: str, account: _Account) -> None:
         self._heap.remove(organisation)
-        account.touched = self._now
+        account.last_used_at = self._now
         account.backlog = Backlog()
         self._idle[organisation] = None
 
-    def _advance(self, now: float) -> None:
+    def _advance_clock(self, now: float) -> None:
         if self._now == -math.inf:
-            # State made before the first known time is retained from then on.
+            # Accounts created before the first known time are retained from then on.
             for account in self._accounts.values():
-                account.touched = now
+                account.last_used_at = now
         self._now = max(self._now, now)
-        oldest = self._now - IDLE_RETENTION_S
+        cutoff = self._now - IDLE_RETENTION_S
         while self._idle:
             organisation = next(iter(self._idle))
             account = self._accounts[organisation]
-            if account.touched > oldest:
+            if account.last_used_at > cutoff:
                 return
             del self._idle[organisation]
             if account.virtual_time > self._virtual_time:
-                account.touched = self._now
+                account.last_used_at = self._now
                 self._idle[organisation] = None
             else:
                 del self._accounts[organisation]
--- a/borageworks/fair/snapshot.py
+++ b/borageworks/fair/snapshot.py
@@ -1,4 +1,4 @@
-"""Whole state of a service ledger."""
+"""Complete state of a service ledger."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LedgerSnapshot:
-    """State that a new aggregator starts from.
+    """Ledger state from which a new aggregator starts.
 
     Parameters
     ----------
@@ -19,7 +19,7 @@
     counters
         Counters of the other owners.
     totals
-        Service units per organisation, with those of retired owners.
+        Service units per organisation, including those of retired owners.
     """
 
     retired: Mapping[str, int]
--- a/borageworks/fair/tests/fake_engine.py
+++ b/borageworks/fair/tests/fake_engine.py
@@ -1,12 +1,13 @@
-"""Engine model for the window tests."""
+"""Simulated model engine for the tests of the concurrency window."""
 
 from borageworks.fair.load import LoadReport
 
 
 class FakeEngine:
-    """Continuous batching with a token interval that grows with the running requests.
+    """Continuous batching; the token interval grows linearly with running requests.
 
-    Reports describe the state one step earlier, as real ones lag.
+    Reports describe the state one step earlier, like the delayed reports of a real
+    engine.
     """
 
     def __init__(self, base_s=0.02, per_request_s=0.0005):
@@ -18,12 +19,12 @@
         self._last = LoadReport(0, 0, 0.0, "1")
 
     def interval(self):
-        """Return the present token interval in seconds."""
+        """Return the current token interval in seconds."""
         running = len(self.remaining)
         return self.slowdown * (self.base_s + self.per_request_s * running)
 
-    def run(self, seconds):
-        """Generate tokens and return the number of requests that ended."""
+    def advance(self, seconds):
+        """Generate tokens for some seconds; return the number of completed requests."""
         tokens = seconds / self.interval()
         before = len(self.remaining)
         self.generated += sum(min(tokens, left) for left in self.remaining)
@@ -31,7 +32,7 @@
         return before - len(self.remaining)
 
     def report(self):
-        """Return the report of the step before and note the present state."""
+        """Return the report of the previous step and store the current one."""
         report = self._last
         interval = self.interval() if self.remaining else 0.0
         self._last = LoadReport(len(self.remaining), 0, interval, "1")
--- a/borageworks/fair/tests/measure_correction.py
+++ b/borageworks/fair/tests/measure_correction.py
@@ -1,7 +1,8 @@
-"""Measurement of correction rules; the tables of docs/fairness.md.
+"""Comparison of correction rules, for the tables of docs/fairness.md.
 
 Run with `python -c "from borageworks.fair.tests.measure_correction import report;
-report()"` at the root of the project.
+report()"` at the root of the project. In the table headings, reach is
+`owners_per_entry`, redraw is `mean_move_interval_s` and lag is `exchange_lag_s`.
 """
 
 import sys
@@ -10,77 +11,96 @@
 from statistics import median
 
 from borageworks.fair.drift import DriftCorrection
-from borageworks.fair.tests.fleet_model import FleetModel, Rule, Scenario, compare
+from borageworks.fair.tests.fleet_model import (
+    CorrectionRule,
+    FleetModel,
+    Scenario,
+    compare,
+)
 
-PROCESSES = 6
+PROCESS_COUNT = 6
 SEEDS = range(1, 9)
 SCENARIOS = {
     "8 owners, reach 3": Scenario(),
-    "8, reach 6": Scenario(reach=6),
-    "8, reach 3, redraw 30 s": Scenario(redraw_s=30.0),
-    "24, reach 8": Scenario(owners=24, reach=8, organisations=32),
-    "60, reach 16": Scenario(owners=60, reach=16),
-    "8, reach 3, mean 0.2 s": Scenario(mean_cost=20.0, seconds=120),
-    "8, reach 3, lag 3.9 s": Scenario(lag_s=3.9),
+    "8, reach 6": Scenario(owners_per_entry=6),
+    "8, reach 3, redraw 30 s": Scenario(mean_move_interval_s=30.0),
+    "24, reach 8": Scenario(owners=24, owners_per_entry=8, organisations=32),
+    "60, reach 16": Scenario(owners=60, owners_per_entry=16),
+    "8, reach 3, mean 0.2 s": Scenario(mean_cost=20.0, duration_s=120),
+    "8, reach 3, lag 3.9 s": Scenario(exchange_lag_s=3.9),
 }
 PARTITION_END_S = 180
-PARTITION = Scenario(reach=6, seconds=500, partition=(60.0, float(PARTITION_END_S)))
+PARTITION = Scenario(
+    owners_per_entry=6, duration_s=500, partition=(60.0, float(PARTITION_END_S))
+)
 RULES = {
     "none": None,
-    "0.3 only, limit 0.25": Rule(0.3, 0.0),
-    "trend 0.5, limit 0.25": Rule(0.3, 0.5),
-    "trend 1.0, limit 0.25": Rule(0.3, 1.0),
-    "0.3 only, limit 1": Rule(0.3, 0.0, 1.0),
-    "trend 0.5, limit 1": Rule(0.3, 0.5, 1.0),
-    "trend 1.0, limit 1": Rule(0.3, 1.0, 1.0),
-    "1.0 only, limit 1": Rule(1.0, 0.0, 1.0),
-    "drift 0.5, limit 0.25": Rule(0.3, 0.5, 0.25, DriftCorrection),
-    "drift 0.8, limit 0.25": Rule(0.3, 0.8, 0.25, DriftCorrection),
-    "trend 0.5, limit 0.25, divided": Rule(0.3, 0.5, divided=True),
-    "drift 0.8, limit 0.25, divided": Rule(0.3, 0.8, 0.25, DriftCorrection, True),
+    "0.3 only, limit 0.25": CorrectionRule(0.3, 0.0),
+    "trend 0.5, limit 0.25": CorrectionRule(0.3, 0.5),
+    "trend 1.0, limit 0.25": CorrectionRule(0.3, 1.0),
+    "0.3 only, limit 1": CorrectionRule(0.3, 0.0, 1.0),
+    "trend 0.5, limit 1": CorrectionRule(0.3, 0.5, 1.0),
+    "trend 1.0, limit 1": CorrectionRule(0.3, 1.0, 1.0),
+    "1.0 only, limit 1": CorrectionRule(1.0, 0.0, 1.0),
+    "drift 0.5, limit 0.25": CorrectionRule(0.3, 0.5, 0.25, DriftCorrection),
+    "drift 0.8, limit 0.25": CorrectionRule(0.3, 0.8, 0.25, DriftCorrection),
+    "trend 0.5, limit 0.25, divided": CorrectionRule(0.3, 0.5, divide_shares=True),
+    "drift 0.8, limit 0.25, divided": CorrectionRule(
+        0.3, 0.8, 0.25, DriftCorrection, True
+    ),
 }
 
 
-def ratios(scenario, rule):
-    """Return the gaps as multiples of the central queue's, one per seed."""
+def gap_ratios(scenario, rule):
+    """Return the ratio of the gap to that of the central queue, for each seed."""
     return [compare(scenario, rule, seed)[0] for seed in SEEDS]
 
 
 def recovery(rule, seed):
-    """Return how debt from a partition is repaid.
+    """Return how fast debt from a partition is repaid.
 
     Returns
     -------
     tuple
-        Seconds until half of it is repaid (None: not within 320 s), and the service of
-        the indebted organisations in the first minute, as a part of the mean.
+        Seconds until half of it is repaid (None if not within 320 s), and the ratio of
+        the service of the indebted organisations in the first minute to the mean.
     """
     model = FleetModel(PARTITION, rule, seed)
-    levels = model.run().levels
+    samples = model.run().samples
     indebted = model.names[: len(model.names) // 4]
 
-    def mean(second):
-        return sum(levels[second].values()) / len(levels[second])
+    def mean_service(second):
+        return sum(samples[second].values()) / len(samples[second])
 
-    def owed(second):
-        return sum(levels[second][name] for name in indebted) / len(indebted) - mean(
-            second
-        )
+    def mean_debt(second):
+        return sum(samples[second][name] for name in indebted) / len(
+            indebted
+        ) - mean_service(second)
 
     end = PARTITION_END_S
-    served = mean(end + 60) + owed(end + 60) - mean(end) - owed(end)
-    half = next(
-        (at - end for at in range(end, len(levels)) if owed(at) < owed(end) / 2), None
+    served = (
+        mean_service(end + 60)
+        + mean_debt(end + 60)
+        - mean_service(end)
+        - mean_debt(end)
+    )
+    half_repaid_s = next(
+        (
+            at - end
+            for at in range(end, len(samples))
+            if mean_debt(at) < mean_debt(end) / 2
+        ),
+        None,
     )
-    return half, served / (mean(end + 60) - mean(end))
+    return half_repaid_s, served / (mean_service(end + 60) - mean_service(end))
 
 
 def report():
-    """Write both tables as Markdown."""
+    """Write both tables to stdout as Markdown."""
     write = sys.stdout.write
-    with ProcessPoolExecutor(PROCESSES) as pool:
+    with ProcessPoolExecutor(PROCESS_COUNT) as pool:
         gaps = {
-            (name, rule): pool.submit(ratios, scenario, RULES[rule])
+            (name, rule): pool.submit(gap_ratios, scenario, RULES[rule])
             for rule in RULES
             for name, scenario in SCENARIOS.items()
         }
@@ -98,9 +118,12 @@
     write("\n| rule | half of the debt repaid, s | service in the first minute |\n")
     write("|---|---|---|\n")
     for rule, results in debts.items():
-        halves = sorted(half or 999 for half, _ in results)
-        parts = [part for _, part in results]
+        half_repaid_times_s = sorted(
+            half_repaid_s or 999 for half_repaid_s, _ in results
+        )
+        service_ratios = [service_ratio for _, service_ratio in results]
         write(
-            f"| {rule} | {halves[len(halves) // 2]} | "
-            f"{median(parts):.2f} (least {min(parts):.2f}) |\n"
+            f"| {rule} | {half_repaid_times_s[len(half_repaid_times_s) // 2]} | "
+            f"{median(service_ratios):.2f} "
+            f"(least {min(service_ratios):.2f}) |\n"
         )
--- a/borageworks/fair/tests/naive_ledger.py
+++ b/borageworks/fair/tests/naive_ledger.py
@@ -1,8 +1,8 @@
-"""Reference implementation of the service ledger: keeps every counter."""
+"""Reference implementation of the service ledger that keeps every counter."""
 
 
 class NaiveLedger:
-    """Largest value per counter, never folded."""
+    """Maximum value of each counter, without folding."""
 
     def __init__(self):
         self.units = {}
--- a/borageworks/fair/tests/naive_queue.py
+++ b/borageworks/fair/tests/naive_queue.py
@@ -1,48 +1,50 @@
-"""Reference implementation of the fair queue, by full scans."""
+"""Reference implementation of the fair queue that scans all organisations."""
 
 from borageworks.fair.pick import Pick
 
 
 class NaiveQueue:
-    """Keeps every organisation forever and searches all of them on each call."""
+    """Never evicts an organisation and scans all of them on each call."""
 
     def __init__(self, correction_range):
-        self.range = correction_range
-        self.pool_time = 0
-        self.steps = 0
+        self.correction_range = correction_range
+        self.pool_virtual_time = 0
+        self.sequence = 0
         self.share = {}
         self.time = {}
-        self.floor = {}
+        self.refund_floor = {}
         self.order = {}
         self.waiting = {}
-        self.since = {}
-        self.start = {}
+        self.waiting_since = {}
+        self.start_tag = {}
         self.tag = {}
 
-    def _known(self, organisation):
-        self.time.setdefault(organisation, self.pool_time)
-        self.floor.setdefault(organisation, self.pool_time)
+    def _ensure_state(self, organisation):
+        self.time.setdefault(organisation, self.pool_virtual_time)
+        self.refund_floor.setdefault(organisation, self.pool_virtual_time)
 
     def _entries(self, organisation):
         return [key for key in self.waiting if key[1] == organisation]
 
-    def _step(self):
-        self.steps += 1
-        return self.steps
+    def _next_sequence(self):
+        self.sequence += 1
+        return self.sequence
 
     def set_demand(self, now, entry, organisation, waiting):
         if waiting <= 0:
             self.waiting.pop((entry, organisation), None)
             return
-        self._known(organisation)
+        self._ensure_state(organisation)
         if not self._entries(organisation):
-            self.time[organisation] = max(self.time[organisation], self.pool_time)
-            self.floor[organisation] = self.pool_time
-            self.order[organisation] = self._step()
+            self.time[organisation] = max(
+                self.time[organisation], self.pool_virtual_time
+            )
+            self.refund_floor[organisation] = self.pool_virtual_time
+            self.order[organisation] = self._next_sequence()
             self.tag[organisation] = 0.0
         if (entry, organisation) not in self.waiting:
-            self.since[entry, organisation] = (now, self._step())
-            self.start[entry, organisation] = self.tag[organisation]
+            self.waiting_since[entry, organisation] = (now, self._next_sequence())
+            self.start_tag[entry, organisation] = self.tag[organisation]
         self.waiting[entry, organisation] = waiting
 
     def take(self):
@@ -52,40 +54,45 @@
         organisation = min(
             organisations, key=lambda name: (self.time[name], self.order[name])
         )
-        self.pool_time = max(self.pool_time, self.time[organisation])
+        self.pool_virtual_time = max(self.pool_virtual_time, self.time[organisation])
 
         def tag(key):
-            return self.start[key] + 1 / self.waiting[key]
+            return self.start_tag[key] + 1 / self.waiting[key]
 
-        key = min(self._entries(organisation), key=lambda k: (tag(k), self.since[k]))
-        self.tag[organisation] = self.start[key] = tag(key)
+        key = min(
+            self._entries(organisation), key=lambda k: (tag(k), self.waiting_since[k])
+        )
+        self.tag[organisation] = self.start_tag[key] = tag(key)
         self.waiting[key] -= 1
         if not self.waiting[key]:
             del self.waiting[key]
-        self.order[organisation] = self._step()
+        self.order[organisation] = self._next_sequence()
         return Pick(key[0], organisation)
 
     def charge(self, organisation, units):
-        self._known(organisation)
+        self._ensure_state(organisation)
         before = self.time[organisation]
-        moved = before + units / self.share.get(organisation, 1)
-        # A refund never goes below the level at re-entry.
-        if moved < before:
-            moved = max(moved, min(before, self.floor[organisation]))
-        self.time[organisation] = moved
+        after = before + units / self.share.get(organisation, 1)
+        # A refund does not go below the virtual time at re-entry.
+        if after < before:
+            after = max(after, min(before, self.refund_floor[organisation]))
+        self.time[organisation] = after
 
     def correct(self, organisation, delta):
-        self._known(organisation)
+        self._ensure_state(organisation)
         before = self.time[organisation]
-        low, high = self.pool_time - self.range, self.pool_time + self.range
+        min_time, max_time = (
+            self.pool_virtual_time - self.correction_range,
+            self.pool_virtual_time + self.correction_range,
+        )
         after = before + delta
-        # Only the part of a correction that leads out of the range is left out.
-        if delta > 0 and after > high:
-            after = max(before, high)
-        if delta < 0 and after < low:
-            after = min(before, low)
+        # A correction stops at the limit of the range.
+        if delta > 0 and after > max_time:
+            after = max(before, max_time)
+        if delta < 0 and after < min_time:
+            after = min(before, min_time)
         self.time[organisation] = after
-        self.floor[organisation] += after - before
+        self.refund_floor[organisation] += after - before
 
     def drop_entry(self, entry):
         for key in [key for key in self.waiting if key[0] == entry]:
@@ -95,7 +102,7 @@
         return {organisation for _, organisation in self.waiting}
 
     def virtual_time(self, organisation):
-        time = self.time.get(organisation, self.pool_time)
+        time = self.time.get(organisation, self.pool_virtual_time)
         if self._entries(organisation):
             return time
-        return max(time, self.pool_time)
+        return max(time, self.pool_virtual_time)
--- a/borageworks/fair/tests/proportional.py
+++ b/borageworks/fair/tests/proportional.py
@@ -1,4 +1,4 @@
-"""Former proportional correction rule, the baseline of `DriftCorrection`."""
+"""Proportional correction, the baseline against which `DriftCorrection` is tested."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 from borageworks.config.settings import FairSettings
 
-# A change of the error over more exchanges says nothing about the present trend.
-FORGET_EXCHANGES = 3
+# An error from longer ago says nothing about the current trend.
+RETENTION_EXCHANGES = 3
 
 
 @dataclass(slots=True)
@@ -16,43 +16,44 @@
     exchange: int
 
 
-class Correction:
-    """Proportional and trend rule of one owner and pool.
+class ProportionalCorrection:
+    """Proportional and derivative correction of one owner and pool.
 
     The error of an organisation is its normalised service less the mean over the
-    backlogged ones. Each owner that holds demand of the organisation applies an equal
-    part, so the fleet as a whole applies the gain once.
+    backlogged ones. Each owner with demand of the organisation applies an equal
+    fraction, so the fleet as a whole applies the gain once. Same interface as
+    `DriftCorrection`.
     """
 
     def __init__(self, settings: FairSettings) -> None:
         self._settings = settings
-        self._last: dict[str, _LastError] = {}
+        self._last_errors: dict[str, _LastError] = {}
         self._exchange = 0
 
     def __len__(self) -> int:
-        """Return the number of organisations remembered."""
-        return len(self._last)
+        """Return the number of organisations with state."""
+        return len(self._last_errors)
 
     def update(
         self, organisation: str, error: float, owners: int, expected_service: float
     ) -> float:
-        """Return the change of the organisation's virtual time in normalised units.
+        """Return the correction of the organisation's virtual time in normalised units.
 
         Parameters
         ----------
         error
             Fleet-wide error in normalised units.
         owners
-            Owners that hold demand of the organisation.
+            Number of owners with demand of the organisation.
         expected_service
             Normalised units that the organisation would receive from this owner in one
-            interval; it limits the result.
+            exchange interval, to which `correction_limit` is relative.
         """
         change = 0.0
-        last = self._last.get(organisation)
+        last = self._last_errors.get(organisation)
         if last is not None:
             change = (error - last.error) / max(1, self._exchange - last.exchange)
-        self._last[organisation] = _LastError(error, self._exchange)
+        self._last_errors[organisation] = _LastError(error, self._exchange)
         settings = self._settings
         delta = settings.correction_gain * error
         delta += settings.correction_trend_gain * change
@@ -61,11 +62,11 @@
         return min(max(delta, -limit), limit)
 
     def end_exchange(self) -> None:
-        """Count an exchange and forget organisations absent from the last few."""
+        """Count an exchange and evict organisations not updated recently."""
         self._exchange += 1
-        oldest = self._exchange - FORGET_EXCHANGES
-        self._last = {
+        min_exchange = self._exchange - RETENTION_EXCHANGES
+        self._last_errors = {
             organisation: last
-            for organisation, last in self._last.items()
-            if last.exchange >= oldest
+            for organisation, last in self._last_errors.items()
+            if last.exchange >= min_exchange
         }
--- a/borageworks/fair/tests/test_ledger.py
+++ b/borageworks/fair/tests/test_ledger.py
@@ -1,4 +1,4 @@
-"""Tests of the service ledger and its errors."""
+"""Tests of the service ledger and the fleet-wide virtual times."""
 
 import random
 
@@ -9,8 +9,8 @@
 from borageworks.fair import ledger as ledger_module
 from borageworks.fair.counter import ServiceCounter
 from borageworks.fair.ledger import ServiceLedger
-from borageworks.fair.levels import ServiceLevels
 from borageworks.fair.tests.naive_ledger import NaiveLedger
+from borageworks.fair.virtual_times import FleetVirtualTimes
 
 UNITS = st.integers(1, 9).map(float)
 COUNTERS = st.lists(
@@ -23,7 +23,7 @@
     ),
     max_size=40,
 )
-RESTARTS = st.lists(
+OWNER_STEPS = st.lists(
     st.one_of(
         st.tuples(st.just("serve"), st.sampled_from("ab"), st.integers(1, 9)),
         st.tuples(st.just("restart")),
@@ -37,7 +37,7 @@
 class ServiceLedgerDifferentialTest(testtools.TestCase):
     @given(COUNTERS, st.randoms(use_true_random=False))
     @settings(derandomize=True, deadline=None, max_examples=300)
-    def test_any_order_and_repetition_gives_the_naive_totals(self, counters, order):
+    def test_any_order_and_repetition_gives_the_naive_totals(self, counters, generator):
         """Guards against merges that count twice or depend on their order."""
         naive, ledger, other = NaiveLedger(), ServiceLedger(), ServiceLedger()
         for counter in counters:
@@ -46,7 +46,7 @@
             )
             ledger.merge(counter)
         shuffled = counters * 2
-        order.shuffle(shuffled)
+        generator.shuffle(shuffled)
         for counter in shuffled:
             other.merge(counter)
         self.assertEqual(naive.totals(), ledger.totals())
@@ -54,10 +54,10 @@
         for counter in ledger.counters():
             self.assertFalse(other.merge(counter))
 
-    @given(RESTARTS)
+    @given(OWNER_STEPS)
     @settings(derandomize=True, deadline=None, max_examples=300)
     def test_folding_keeps_totals_exact_and_monotonic(self, steps):
-        """Guards against late counters of folded incarnations that count again."""
+        """Guards against counting late counters of folded incarnations twice."""
         naive, ledger, sent, incarnation = NaiveLedger(), ServiceLedger(), [], 0
         for step in steps:
             before = ledger.totals()
@@ -71,7 +71,7 @@
                 case ("repeat", index) if sent:
                     ledger.merge(sent[index % len(sent)])
                 case ("retire",):
-                    # An owner that left comes back with a new incarnation.
+                    # An owner that left returns with a new incarnation.
                     ledger.retire("x")
                     incarnation += 1
             after = ledger.totals()
@@ -93,10 +93,10 @@
         )
     )
     @settings(derandomize=True, deadline=None, max_examples=300)
-    def test_replicas_that_forget_differently_agree_and_never_exceed_the_truth(
+    def test_replicas_that_retire_owners_differently_agree_without_counting_twice(
         self, steps
     ):
-        """Guards against counters that count twice after folding or retiring."""
+        """Guards against service counted twice after folding or retiring."""
         ledgers, naive = (ServiceLedger(), ServiceLedger()), NaiveLedger()
         incarnations, served = {"x": 0, "y": 0}, dict.fromkeys("xy", 0.0)
         for step in steps:
@@ -117,8 +117,8 @@
                 case ("exchange", replica):
                     ledgers[replica].merge_snapshot(ledgers[1 - replica].snapshot())
             for ledger, total in zip(ledgers, before, strict=True):
-                truth = naive.totals().get("a", 0.0)
-                self.assertTrue(total <= ledger.totals().get("a", 0.0) <= truth)
+                served_units = naive.totals().get("a", 0.0)
+                self.assertTrue(total <= ledger.totals().get("a", 0.0) <= served_units)
         for _ in range(2):
             ledgers[0].merge_snapshot(ledgers[1].snapshot())
             ledgers[1].merge_snapshot(ledgers[0].snapshot())
@@ -126,34 +126,34 @@
 
 
 class ServiceLedgerTest(testtools.TestCase):
-    def test_negative_units_are_refused(self):
-        """Guards against estimates that are counted and then taken back."""
+    def test_negative_units_are_rejected(self):
+        """Guards against adding an estimate and subtracting it later."""
         self.assertRaises(ValueError, ServiceLedger().add, "x", 0, "a", -1.0)
 
     def test_memory_of_retired_owners_is_bounded(self):
-        """Guards against memory that grows with each replaced instance."""
+        """Guards against memory that grows with every instance replaced."""
         ledger = ServiceLedger()
-        for number in range(ledger_module.RETIRED_OWNERS + 10):
+        for number in range(ledger_module.MAX_RETIRED_OWNERS + 10):
             ledger.add(f"x{number}", 1, "a", 1.0)
             ledger.retire(f"x{number}")
         self.assertEqual(0, len(ledger))
-        self.assertEqual(ledger_module.RETIRED_OWNERS + 10.0, ledger.totals()["a"])
-        last = f"x{ledger_module.RETIRED_OWNERS + 9}"
+        self.assertEqual(ledger_module.MAX_RETIRED_OWNERS + 10.0, ledger.totals()["a"])
+        last = f"x{ledger_module.MAX_RETIRED_OWNERS + 9}"
         self.assertFalse(ledger.merge(ServiceCounter(last, 1, "a", 1.0)))
         self.assertIn(last, ledger.snapshot().retired)
 
     def test_owner_retired_elsewhere_is_dropped(self):
-        """Guards against counters that only the aggregator that retires drops."""
-        one, two = ServiceLedger(), ServiceLedger()
-        for ledger in (one, two):
+        """Guards against counters dropped only by the aggregator that retires them."""
+        first, second = ServiceLedger(), ServiceLedger()
+        for ledger in (first, second):
             ledger.add("x", 1, "a", 5.0)
-        one.retire("x")
-        two.merge_snapshot(one.snapshot())
-        self.assertEqual(0, len(two))
-        self.assertEqual({"a": 5.0}, two.totals())
+        first.retire("x")
+        second.merge_snapshot(first.snapshot())
+        self.assertEqual(0, len(second))
+        self.assertEqual({"a": 5.0}, second.totals())
 
     def test_old_incarnations_are_folded(self):
-        """Guards against memory that grows with each restart."""
+        """Guards against memory that grows with every restart."""
         ledger = ServiceLedger()
         for incarnation in range(50):
             ledger.add("x", incarnation, "a", 1.0)
@@ -171,71 +171,75 @@
         self.assertEqual({"a": 0.0, "b": 6.0, "c": -6.0}, errors)
 
 
-class ServiceLevelsTest(testtools.TestCase):
+class FleetVirtualTimesTest(testtools.TestCase):
     def test_idle_time_gives_no_credit_and_debt_is_kept(self):
         """Guards against an error that grows while an organisation is idle."""
-        levels, totals = ServiceLevels(), {"a": 0.0, "b": 0.0, "c": 0.0}
-        levels.update(totals, {}, {"a", "b", "c"})
+        virtual_times, totals = FleetVirtualTimes(), {"a": 0.0, "b": 0.0, "c": 0.0}
+        virtual_times.update(totals, {}, {"a", "b", "c"})
         totals["c"] += 100.0
-        levels.update(totals, {}, {"a", "b"})
+        virtual_times.update(totals, {}, {"a", "b"})
         totals["a"] += 40.0
         totals["b"] += 40.0
-        levels.update(totals, {}, {"a", "b", "c"})
-        errors = levels.errors(levels.mean)
+        virtual_times.update(totals, {}, {"a", "b", "c"})
+        errors = virtual_times.errors(virtual_times.mean)
         self.assertEqual(60.0, errors["c"] - errors["a"])
-        levels.update(totals, {}, {"a", "b"})
+        virtual_times.update(totals, {}, {"a", "b"})
         for _ in range(10):
             totals["a"] += 40.0
             totals["b"] += 40.0
-            levels.update(totals, {}, {"a", "b"})
-        self.assertEqual(2, len(levels))
-        levels.update(totals, {}, {"a", "b", "c"})
-        self.assertEqual(0.0, levels.errors(levels.mean)["c"])
+            virtual_times.update(totals, {}, {"a", "b"})
+        self.assertEqual(2, len(virtual_times))
+        virtual_times.update(totals, {}, {"a", "b", "c"})
+        self.assertEqual(0.0, virtual_times.errors(virtual_times.mean)["c"])
 
     def test_debt_that_the_mean_has_just_passed_is_not_credit(self):
-        """Guards against entering below the mean with a level that was still held."""
-        levels, totals = ServiceLevels(), {"a": 0.0, "c": 0.0}
-        levels.update(totals, {}, {"a", "c"})
-        levels.update({"a": 0.0, "c": 60.0}, {}, {"a"})
-        levels.update({"a": 500.0, "c": 60.0}, {}, {"a", "c"})
-        self.assertEqual({"a": 0.0, "c": 0.0}, levels.errors(levels.mean))
-
-    def test_aggregators_agree_when_one_missed_an_idle_time(self):
-        """Guards against levels that differ between domains for good."""
-        one, two = ServiceLevels(), ServiceLevels()
-        for levels in (one, two):
-            levels.update({}, {}, {"a", "b"})
+        """Guards against entering below the mean at an old virtual time."""
+        virtual_times, totals = FleetVirtualTimes(), {"a": 0.0, "c": 0.0}
+        virtual_times.update(totals, {}, {"a", "c"})
+        virtual_times.update({"a": 0.0, "c": 60.0}, {}, {"a"})
+        virtual_times.update({"a": 500.0, "c": 60.0}, {}, {"a", "c"})
+        self.assertEqual({"a": 0.0, "c": 0.0}, virtual_times.errors(virtual_times.mean))
+
+    def test_aggregators_agree_when_one_missed_an_idle_period(self):
+        """Guards against virtual times that stay different between domains."""
+        first, second = FleetVirtualTimes(), FleetVirtualTimes()
+        for virtual_times in (first, second):
+            virtual_times.update({}, {}, {"a", "b"})
         totals = {"a": 100.0}
-        two.update(totals, {}, {"a"})
-        for levels in (one, two):
-            levels.update(totals, {}, {"a", "b"})
-        one.merge(list(two.levels()), totals)
-        one.update(totals, {}, {"a", "b"})
-        self.assertEqual({"a": 0.0, "b": 0.0}, one.errors(one.mean))
+        second.update(totals, {}, {"a"})
+        for virtual_times in (first, second):
+            virtual_times.update(totals, {}, {"a", "b"})
+        first.merge(list(second.records()), totals)
+        first.update(totals, {}, {"a", "b"})
+        self.assertEqual({"a": 0.0, "b": 0.0}, first.errors(first.mean))
 
     def test_new_aggregator_starts_without_errors(self):
         """Guards against a jump of all virtual times after a change of aggregator."""
-        levels, generator = ServiceLevels(), random.Random(1)
+        virtual_times, generator = FleetVirtualTimes(), random.Random(1)
         totals = {name: generator.uniform(0, 1e6) for name in "abc"}
-        levels.update(totals, {}, set("abc"))
-        self.assertEqual([0.0] * 3, list(levels.errors(levels.mean).values()))
-        levels.update({"a": 1.0}, {}, set("abc"))
-        self.assertEqual([0.0] * 3, list(levels.errors(levels.mean).values()))
-
-    def test_partition_keeps_debt_and_gives_no_credit_for_idle_time(self):
-        """Guards against aggregators that take a partition for idle time."""
-        one, two = ServiceLevels(), ServiceLevels()
+        virtual_times.update(totals, {}, set("abc"))
+        self.assertEqual(
+            [0.0] * 3, list(virtual_times.errors(virtual_times.mean).values())
+        )
+        virtual_times.update({"a": 1.0}, {}, set("abc"))
+        self.assertEqual(
+            [0.0] * 3, list(virtual_times.errors(virtual_times.mean).values())
+        )
+
+    def test_partition_keeps_debt_and_gives_no_credit_for_idle_periods(self):
+        """Guards against aggregators that mistake a partition for an idle period."""
+        first, second = FleetVirtualTimes(), FleetVirtualTimes()
         totals = dict.fromkeys("abcd", 0.0)
-        for levels in (one, two):
-            levels.update(totals, {}, {"a", "b", "c"})
-        # One side serves a; the other serves b and c, of which c pauses, and later d.
-        one.update(totals | {"a": 900.0}, {}, {"a"})
-        two.update(totals | {"b": 100.0}, {}, {"b"})
-        two.update(totals | {"b": 200.0}, {}, {"b", "c", "d"})
+        for virtual_times in (first, second):
+            virtual_times.update(totals, {}, {"a", "b", "c"})
+        # One side serves a, the other b and later also c, which was idle, and d.
+        first.update(totals | {"a": 900.0}, {}, {"a"})
+        second.update(totals | {"b": 100.0}, {}, {"b"})
+        second.update(totals | {"b": 200.0}, {}, {"b", "c", "d"})
         totals |= {"a": 900.0, "b": 200.0}
-        for levels, other in ((one, two), (two, one)):
-            levels.merge(list(other.levels()), totals)
-        for levels in (one, two):
-            levels.update(totals, {}, set("abcd"))
-            errors = levels.errors(0.0)
+        for virtual_times, other in ((first, second), (second, first)):
+            virtual_times.merge(list(other.records()), totals)
+        for virtual_times in (first, second):
+            virtual_times.update(totals, {}, set("abcd"))
+            errors = virtual_times.errors(0.0)
             self.assertEqual({"a": 900.0, "b": 200.0, "c": 200.0, "d": 200.0}, errors)
--- a/borageworks/fair/tests/test_queue.py
+++ b/borageworks/fair/tests/test_queue.py
@@ -30,14 +30,14 @@
 
 
 def take(queue):
-    """Take from a queue in which something waits."""
+    """Take a request from a queue that is not empty."""
     pick = queue.take(0.0)
     assert pick is not None
     return pick
 
 
 class FairQueueDifferentialTest(testtools.TestCase):
-    """Guards against lazy heaps that order differently from a full scan."""
+    """Guards against a lazily updated heap that orders differently from a full scan."""
 
     @given(STEPS, st.sampled_from([2.0, 16.0, 1e9]))
     @settings(derandomize=True, deadline=None, max_examples=400)
@@ -67,7 +67,7 @@
                     fair.set_share(organisation, share)
                     naive.share[organisation] = share
                 case ("wait", seconds):
-                    # Stays under the retention, after which dropped state may differ.
+                    # Stays below the retention; evicted state may differ afterwards.
                     now += seconds / 1000
             self.assertEqual(naive.backlogged(), fair.backlogged())
             for name in "abcd":
@@ -85,18 +85,18 @@
                     fair.charge(pick.organisation, cost / 4)
         while pick := fair.take(0.0):
             fair.charge(pick.organisation, 1.0)
-        debts = {
+        indebted = {
             name for name in "abcd" if fair.virtual_time(name) > fair.pool_virtual_time
         }
         fair.take(IDLE_RETENTION_S + 1)
-        self.assertEqual(len(debts), fair.accounts)
+        self.assertEqual(len(indebted), fair.account_count)
 
 
 class FairQueueTest(testtools.TestCase):
-    """Focused cases of one owner."""
+    """Single cases of a queue of one owner."""
 
-    def serve(self, queue, count, cost=lambda organisation: 1.0):
-        """Take and charge, and return the organisations in order."""
+    def serve_all(self, queue, count, cost=lambda organisation: 1.0):
+        """Take and charge `count` requests; return their organisations in order."""
         order = []
         for _ in range(count):
             pick = take(queue)
@@ -104,14 +104,14 @@
             order.append(pick.organisation)
         return order
 
-    def test_flood_starves_nobody(self):
-        """Guards against an organisation that waits behind another's backlog."""
+    def test_flood_starves_no_organisation(self):
+        """Guards against an organisation that waits for another's whole backlog."""
         queue = FairQueue()
         queue.set_demand(0.0, "e", "flood", 100_000)
-        self.serve(queue, 1000)
+        self.serve_all(queue, 1000)
         for number in range(20):
             queue.set_demand(1.0, "e", f"small{number}", 5)
-        order = self.serve(queue, 105)
+        order = self.serve_all(queue, 105)
         for number in range(20):
             turns = [i for i, name in enumerate(order) if name == f"small{number}"]
             self.assertEqual(5, len(turns))
@@ -124,43 +124,43 @@
         queue.set_share("a", 3.0)
         for name in "ab":
             queue.set_demand(0.0, "e", name, 1000)
-        self.serve(queue, 400)
+        self.serve_all(queue, 400)
         self.assertEqual(300, queue.service("a"))
 
-    def test_idle_time_gives_no_credit(self):
-        """Guards against a burst that is served alone after a long idle time."""
+    def test_idle_period_gives_no_credit(self):
+        """Guards against a burst served exclusively after a long idle period."""
         queue = FairQueue()
         for name in "ab":
             queue.set_demand(0.0, "e", name, 1)
-        self.serve(queue, 2)
+        self.serve_all(queue, 2)
         queue.set_demand(0.0, "e", "b", 5000)
-        self.serve(queue, 1000)
+        self.serve_all(queue, 1000)
         queue.set_demand(0.0, "e", "a", 5000)
-        self.assertLessEqual(self.serve(queue, 100).count("a"), 51)
+        self.assertLessEqual(self.serve_all(queue, 100).count("a"), 51)
 
-    def test_debt_outlasts_a_short_idle_time(self):
-        """Guards against withdrawing and asking again to be rid of debt."""
+    def test_debt_outlasts_a_short_idle_period(self):
+        """Guards against evading debt by withdrawing and renewing the demand."""
         queue = FairQueue()
         for name in "ab":
             queue.set_demand(0.0, "e", name, 1000)
-        self.serve(queue, 2)
+        self.serve_all(queue, 2)
         queue.charge("a", 50.0)
         queue.set_demand(0.0, "e", "a", 0)
         queue.set_demand(0.0, "e", "a", 1000)
-        self.assertEqual(["b"] * 50, self.serve(queue, 50))
+        self.assertEqual(["b"] * 50, self.serve_all(queue, 50))
 
     def test_late_refund_is_not_credit(self):
-        """Guards against overestimates whose refund arrives after an idle time."""
+        """Guards against credit from a refund that arrives after an idle period."""
         queue = FairQueue()
         queue.set_demand(0.0, "e", "a", 1)
-        self.serve(queue, 1, lambda _: 100.0)
+        self.serve_all(queue, 1, lambda _: 100.0)
         queue.set_demand(0.0, "e", "b", 1000)
-        self.serve(queue, 200)
+        self.serve_all(queue, 200)
         queue.set_demand(0.0, "e", "a", 1000)
         queue.charge("a", -99.0)
-        self.assertLessEqual(self.serve(queue, 20).count("a"), 11)
+        self.assertLessEqual(self.serve_all(queue, 20).count("a"), 11)
 
-    def test_cheap_hints_gain_nothing(self):
+    def test_understated_hints_gain_no_service(self):
         """Guards against service gained by understating the cost of requests."""
         queue, estimator, slots = FairQueue(), CostEstimator(), []
         for name in ("honest", "cheap"):
@@ -181,28 +181,28 @@
         last = estimator.estimate("cheap", "s", 1.0)
         self.assertLess(abs(last - 100.0), 1.0)
 
-    def test_entries_share_an_organisation_by_waiting_count(self):
-        """Guards against an entry that is starved by another with more requests."""
+    def test_entries_are_served_in_proportion_to_waiting_count(self):
+        """Guards against an entry starved by another with more requests."""
         queue = FairQueue()
         queue.set_demand(0.0, "many", "a", 30)
         queue.set_demand(1.0, "few", "a", 10)
         entries = [take(queue).entry for _ in range(20)]
         self.assertTrue(4 <= entries.count("few") <= 6, entries)
 
-    def test_oldest_demand_goes_first(self):
-        """Guards against a late entry that overtakes an equal earlier one."""
+    def test_equal_tags_are_served_by_waiting_time(self):
+        """Guards against an entry that overtakes an equal one waiting for longer."""
         queue = FairQueue()
         queue.set_demand(2.0, "late", "a", 2)
         queue.set_demand(1.0, "early", "a", 2)
         self.assertEqual("early", take(queue).entry)
 
-    def test_charges_do_not_grow_the_heap(self):
-        """Guards against stale priorities that pile up under streamed charges."""
+    def test_priority_changes_do_not_grow_the_heap(self):
+        """Guards against outdated priorities that accumulate under frequent charges."""
         heap = IndexedHeap()
         for number in range(10_000):
             heap.set(f"o{number % 10}", (float(number),))
         self.assertLess(len(heap._heap), 200)
-        self.assertEqual("o0", heap.least())
+        self.assertEqual("o0", heap.peek())
 
     def test_share_must_be_positive(self):
         """Guards against a division by zero on the next charge."""
@@ -210,14 +210,14 @@
 
 
 class ServedOutOfOrderTest(testtools.TestCase):
-    def test_service_out_of_order_does_not_put_newcomers_behind_those_that_wait(self):
-        """Guards against a pool whose virtual time outruns its backlog."""
+    def test_service_out_of_order_does_not_delay_new_organisations(self):
+        """Guards against a pool virtual time beyond that of waiting organisations."""
         queue = FairQueue()
         queue.charge("large", 1000.0)
         queue.set_demand(0.0, "e1", "waiting", 1)
         queue.serve("large")
         queue.charge("waiting", 10.0)
         self.assertTrue(
-            queue.virtual_time("newcomer") < queue.virtual_time("waiting"),
-            (queue.virtual_time("newcomer"), queue.virtual_time("waiting")),
+            queue.virtual_time("new") < queue.virtual_time("waiting"),
+            (queue.virtual_time("new"), queue.virtual_time("waiting")),
         )
