--- a/borageworks/placement/decisions.py
+++ b/borageworks/placement/decisions.py
@@ -1,4 +1,4 @@
-"""What placement decides about a request."""
+"""Decisions of placement about a request."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Placed:
-    """The request is to be sent to an endpoint.
+    """Sends the request to an endpoint.
 
-    `unread_tokens` is the part of its prompt that the endpoint is expected to read;
-    `placed_by` the instance that decided, if it was another one.
+    `unread_tokens` is the number of prompt tokens that the endpoint is expected to
+    prefill; `placed_by` is the instance that decided, if it was another one.
     """
 
     key: WorkKey
@@ -33,9 +33,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Refused:
-    """The request is to be refused; it may come back after `retry_after_s` seconds.
+    """Refuses the request; the caller may retry after `retry_after_s` seconds.
 
-    `work` is the request, None where another instance decided.
+    `work` is the request, None if another instance decided.
     """
 
     key: WorkKey
--- a/borageworks/placement/dispatcher.py
+++ b/borageworks/placement/dispatcher.py
@@ -14,48 +14,49 @@
 from borageworks.placement.endpoint_state import EndpointState, RunningWork
 from borageworks.placement.memory_news import MemoryNews
 from borageworks.placement.outcome import WorkOutcome
-from borageworks.placement.prompt_memory import PromptMemory
+from borageworks.placement.prompt_cache import PromptCache
 from borageworks.placement.reading_speed import ReadingSpeed
 from borageworks.placement.settings import PlacementSettings
 from borageworks.placement.work import GENERATED_WEIGHT, PLAIN_UNITS, Work, WorkKey
 from borageworks.routing.suspects import CrashSuspects, Verdict
 
-# Speed of one engine until measured, where the operator states no throughput.
+# Prior for the prefill speed of an engine if the operator states no throughput.
 DEFAULT_TOKENS_PER_S = 20_000.0
-# The throughput figure counts generated tokens too, so engines read faster than that.
-READING_PART = 0.5
-# Part by which one more request moves the mean time in a slot.
-DURATION_GAIN = 0.05
-# Waiting requests that look for a better engine at each tick, in turn. A look compares
-# all engines, so that under a flood looks for all of them would take a whole processor.
-LOOKS_PER_TICK = 16
-# A request that crashes endpoints is refused for good; the caller need not hurry.
-SUSPECT_RETRY_S = 60.0
-# Entry name under which all demand stands in the fair queue.
-_ENTRY = ""
+# The stated throughput includes generated tokens, so engines prefill faster than that.
+PREFILL_THROUGHPUT_RATIO = 0.5
+# Smoothing factor of the moving average of the time that a request takes a slot.
+SLOT_DURATION_GAIN = 0.05
+# Waiting requests whose preferred engine is selected anew at each tick, in turn. Each
+# selection compares all engines; doing it for all requests of a flood would saturate a
+# core.
+SELECTIONS_PER_TICK = 16
+# Requests that crash endpoints stay refused, so an early retry is useless.
+SUSPECT_RETRY_AFTER_S = 60.0
+# The single entry under which the fair queue counts all demand.
+_FAIR_QUEUE_ENTRY = ""
 
 
 @dataclass(slots=True)
-class _Waiting:
+class _WaitingWork:
     work: Work
     arrived_at: float
     expires_at: float
     preferred: str | None
-    preferred_at: float
+    selected_at: float
     tokens: int
 
 
 class Dispatcher:
     """Places the requests of one service onto its endpoints.
 
-    A pure state machine: events and the time go in, decisions come out. Requests wait
-    here and not at endpoints, which admit in order of arrival. Organisations take turns
-    by start-time fair queueing; inside an organisation the oldest request is first.
+    A state machine without I/O: events and times go in, decisions come out. Requests
+    wait here and not at the endpoints, which admit in order of arrival. Organisations
+    are served by start-time fair queueing, each one's requests in order of arrival.
 
     Parameters
     ----------
     service
-        Service, and what the operator states of its engines.
+        Service, with the operator's figures for its engines.
     settings
         Settings of placement.
     domain
@@ -70,13 +71,13 @@
         self._domain = domain
         self._endpoints: dict[str, EndpointState] = {}
         self._placed: dict[WorkKey, str] = {}
-        self._waiting: dict[WorkKey, _Waiting] = {}
+        self._waiting: dict[WorkKey, _WaitingWork] = {}
         self._waiting_tokens: dict[str, float] = {}
-        self._per_organisation: dict[str, int] = {}
-        self._fair = FairQueue()
+        self._waiting_per_organisation: dict[str, int] = {}
+        self._fair_queue = FairQueue()
         self._speed = ReadingSpeed(DEFAULT_TOKENS_PER_S)
-        self._share = 1.0
-        self._duration_s = 0.0
+        self._capacity_ratio = 1.0
+        self._mean_duration_s = 0.0
         self._suspects = CrashSuspects()
 
     @property
@@ -96,60 +97,63 @@
 
     @property
     def speed(self) -> ReadingSpeed:
-        """Learned reading speed of the engines."""
+        """Estimate of the engines' prefill speed."""
         return self._speed
 
-    def set_share(self, share: float) -> None:
-        """Use only a part of each endpoint, while other instances place alone too."""
-        self._share = share
+    def set_share(self, ratio: float) -> None:
+        """Set the fraction of each endpoint's capacity that this instance may use.
+
+        It is below 1 while instances place independently of each other.
+        """
+        self._capacity_ratio = ratio
 
     def set_throughput(self, tokens_per_s: float) -> None:
-        """Set the expected throughput of one engine, before any measurement."""
-        self._speed = ReadingSpeed(tokens_per_s / READING_PART)
+        """Set the stated throughput of one engine, the prior of its prefill speed."""
+        self._speed = ReadingSpeed(tokens_per_s / PREFILL_THROUGHPUT_RATIO)
 
     def set_endpoints(
         self, now: float, endpoints: Iterable[Endpoint]
     ) -> list[Decision]:
-        """Take the current list of endpoints."""
+        """Replace the list of endpoints."""
         listed = {endpoint.id: endpoint for endpoint in endpoints}
         for name in list(self._endpoints):
             if name not in listed:
-                self._forget(name)
+                self._remove_endpoint(name)
         engine = self._service.engine
         for name, endpoint in listed.items():
             state = self._endpoints.get(name)
             if state is not None and state.endpoint.started_ms != endpoint.started_ms:
-                self._forget(name)
+                self._remove_endpoint(name)
                 state = None
             if state is None:
                 capacity = engine.memory_tokens if engine is not None else 0
-                self._endpoints[name] = EndpointState(endpoint, PromptMemory(capacity))
+                self._endpoints[name] = EndpointState(endpoint, PromptCache(capacity))
             else:
                 state.endpoint = endpoint
-        return self._serve(now)
+        return self._place_waiting(now)
 
     def submit(self, now: float, work: Work) -> list[Decision]:
-        """Place a request, let it wait, or refuse it."""
+        """Place, queue or refuse a request."""
         if self._suspects.verdict(now, work.fingerprint) is Verdict.REFUSED:
             reason = RefusalReason.SUSPECTED
-            return [Refused(work.key, reason, SUSPECT_RETRY_S, work)]
-        preferred = self._prefer(now, work)
+            return [Refused(work.key, reason, SUSPECT_RETRY_AFTER_S, work)]
+        preferred = self._select_endpoint(now, work)
         if preferred is None:
             return [self._refuse(now, work, RefusalReason.NO_ENDPOINT)]
         state = self._endpoints[preferred]
-        if not self._must_wait(work) and self._has_room(now, state, work):
+        if not self._is_behind_others(work) and self._has_room(now, state, work):
             return [self._place(now, state, work)]
-        expires_at = now + self._longest_wait(now, state, work)
+        expires_at = now + self._max_wait_s(now, state, work)
         tokens = _own_prompt_tokens(work)
-        waiting = _Waiting(work, now, expires_at, preferred, now, tokens)
-        if now + self._expected_wait(now, waiting) > expires_at:
-            return [self._spread(now, waiting)]
+        waiting = _WaitingWork(work, now, expires_at, preferred, now, tokens)
+        if now + self._expected_wait_s(now, waiting) > expires_at:
+            return [self._place_elsewhere(now, waiting)]
         self._waiting[work.key] = waiting
         self._count_waiting(now, waiting, 1)
         return []
 
     def withdraw(self, now: float, key: WorkKey) -> list[Decision]:
-        """Forget a request whose caller has left, waiting or placed."""
+        """Remove a waiting or placed request whose caller has disconnected."""
         waiting = self._waiting.pop(key, None)
         if waiting is not None:
             self._count_waiting(now, waiting, -1)
@@ -157,64 +161,69 @@
         return self.end(now, key, WorkOutcome.LEFT)
 
     def adopt(self, now: float, work: Work, endpoint: str, started: bool) -> None:
-        """Note a request that was placed elsewhere and runs at an endpoint.
+        """Take over a running request that another instance placed.
 
-        Its times say nothing about the endpoint's speed, as its start was not seen.
+        If it has started, its times are no sample of the endpoint's speed, since this
+        instance did not observe its start.
         """
         state = self._endpoints.get(endpoint)
         if state is not None and work.key not in self._placed:
-            self._note(now, state, work)
+            self._add_running(now, state, work)
             if started:
                 state.start(now, work.key)
 
     def start(self, now: float, key: WorkKey) -> list[Decision]:
-        """Note the first sign of an answer."""
+        """Record the first output of a request."""
         state = self._endpoints.get(self._placed.get(key, ""))
         started = state.start(now, key) if state is not None else None
-        if state is not None and started is not None and started.unread_tokens:
-            taken = now - started.placed_at
+        if state is not None and started is not None and started.uncached_tokens:
+            first_token_s = now - started.placed_at
             tokens = started.backlog_tokens
-            state.note_speed(now, taken, self._speed.seconds(tokens))
-            self._speed.record(tokens, taken / state.slowness(now))
-        return self._serve(now, state)
+            state.record_first_token(
+                now, first_token_s, self._speed.first_token_s(tokens)
+            )
+            self._speed.record(tokens, first_token_s / state.slowdown(now))
+        return self._place_waiting(now, state)
 
     def end(self, now: float, key: WorkKey, outcome: WorkOutcome) -> list[Decision]:
-        """Note the end of a placed request."""
+        """Record the end of a placed request."""
         state = self._endpoints.get(self._placed.pop(key, ""))
         if state is not None:
             ended = state.remove(key)
             if ended is not None:
-                self._note_end(now, state, ended, outcome)
+                self._record_end(now, state, ended, outcome)
             state.record(now, outcome)
             if outcome is WorkOutcome.UNREACHABLE:
-                # After a crash nothing is kept; news tell if it was only unreachable.
-                state.memory.clear()
-        return self._serve(now, state)
+                # A crash empties the cache; without one, updates restore its state.
+                state.cache.clear()
+        return self._place_waiting(now, state)
 
     def drop_instance(self, now: float, instance: str) -> list[Decision]:
-        """Forget all requests of an instance that was lost."""
+        """Remove all requests of an instance that was lost."""
         for key in [key for key in self._waiting if key[0] == instance]:
             self._count_waiting(now, self._waiting.pop(key), -1)
         for key in [key for key in self._placed if key[0] == instance]:
             state = self._endpoints.get(self._placed.pop(key))
             if state is not None:
                 state.remove(key)
-        return self._serve(now)
+        return self._place_waiting(now)
 
-    def learn(self, endpoint: str, news: MemoryNews) -> None:
-        """Take an engine's news about the prompt parts that it keeps."""
+    def learn(self, endpoint: str, update: MemoryNews) -> None:
+        """Apply an engine's update about its cached prompt parts."""
         state = self._endpoints.get(endpoint)
         if state is not None:
-            state.memory.apply(news)
+            state.cache.apply(update)
 
     def tick(self, now: float) -> list[Decision]:
-        """Refuse requests that have waited too long, and place what fits."""
-        longest_ago = heapq.nsmallest(
-            LOOKS_PER_TICK, self._waiting.values(), key=lambda item: item.preferred_at
+        """Place waiting requests that fit, and refuse those that waited too long."""
+        least_recent = heapq.nsmallest(
+            SELECTIONS_PER_TICK,
+            self._waiting.values(),
+            key=lambda item: item.selected_at,
         )
-        for waiting in longest_ago:
-            self._prefer_again(now, waiting)
-        decisions = self._serve(now)
+        for waiting in least_recent:
+            self._reselect_endpoint(now, waiting)
+        decisions = self._place_waiting(now)
         for waiting in list(self._waiting.values()):
             if now >= waiting.expires_at:
                 del self._waiting[waiting.work.key]
@@ -222,27 +231,29 @@
                 decisions.append(self._refuse(now, waiting.work, RefusalReason.WAITED))
         return decisions
 
-    def _serve(self, now: float, freed: EndpointState | None = None) -> list[Decision]:
-        """Place what fits, on one endpoint that has more room now or on any."""
+    def _place_waiting(
+        self, now: float, freed: EndpointState | None = None
+    ) -> list[Decision]:
+        """Place waiting requests that fit, on a freed endpoint only or on any."""
         if not self._waiting:
             return []
         decisions: list[Decision] = []
-        waiting_here = self._waiting.values()
+        all_waiting = self._waiting.values()
         if freed is not None and self.has_engines:
             name = freed.endpoint.id
-            order = [item for item in waiting_here if item.preferred in (name, None)]
+            order = [item for item in all_waiting if item.preferred in (name, None)]
         else:
-            order = list(waiting_here)
+            order = list(all_waiting)
         order.sort(
             key=lambda item: (
-                self._fair.virtual_time(item.work.organisation),
+                self._fair_queue.virtual_time(item.work.organisation),
                 item.arrived_at,
             )
         )
         full: set[str] = set()
         for waiting in order:
             if waiting.preferred is None or waiting.work.prompt is None:
-                self._prefer_again(now, waiting)
+                self._reselect_endpoint(now, waiting)
             if waiting.preferred is None or waiting.preferred in full:
                 continue
             state = self._endpoints[waiting.preferred]
@@ -254,18 +265,19 @@
             decisions.append(self._place(now, state, waiting.work))
         return decisions
 
-    def _spread(self, now: float, waiting: _Waiting) -> Decision:
-        """Place a request whose preferred engine is late elsewhere, or refuse it.
+    def _place_elsewhere(self, now: float, waiting: _WaitingWork) -> Decision:
+        """Place a request on another engine than the preferred one, or refuse it.
 
-        Another engine reads the shared part again. That takes nothing from others only
-        if it has room and nobody waits for another engine than the preferred one.
+        The preferred engine would miss the target latency. Another one has to prefill
+        the shared part again, which delays no other request only if that engine has
+        room and all waiting requests prefer the same engine as this one.
         """
         work = waiting.work
         if any(item.preferred != waiting.preferred for item in self._waiting.values()):
             return self._refuse(now, work, RefusalReason.NO_ROOM)
-        pace = self._speed.seconds_per_token
-        own = _own_prompt_tokens(work)
-        fastest = min(
+        seconds_per_token = self._speed.seconds_per_token
+        own_tokens = _own_prompt_tokens(work)
+        cheapest = min(
             (
                 state
                 for name, state in self._endpoints.items()
@@ -274,211 +286,235 @@
                 and not self._waiting_tokens.get(name)
                 and self._has_room(now, state, work)
             ),
-            key=lambda state: self._cost(now, state, work, own, pace),
+            key=lambda state: self._cost_s(
+                now, state, work, own_tokens, seconds_per_token
+            ),
             default=None,
         )
-        if fastest is not None:
-            return self._place(now, fastest, work)
+        if cheapest is not None:
+            return self._place(now, cheapest, work)
         return self._refuse(now, work, RefusalReason.NO_ROOM)
 
-    def _prefer_again(self, now: float, waiting: _Waiting) -> None:
-        self._count_tokens(waiting, -1)
-        waiting.preferred_at = now
-        waiting.preferred = self._prefer(now, waiting.work)
-        self._count_tokens(waiting, 1)
+    def _reselect_endpoint(self, now: float, waiting: _WaitingWork) -> None:
+        self._count_waiting_tokens(waiting, -1)
+        waiting.selected_at = now
+        waiting.preferred = self._select_endpoint(now, waiting.work)
+        self._count_waiting_tokens(waiting, 1)
 
-    def _prefer(self, now: float, work: Work) -> str | None:
-        pace = self._speed.seconds_per_token
-        own = _own_prompt_tokens(work)
+    def _select_endpoint(self, now: float, work: Work) -> str | None:
+        seconds_per_token = self._speed.seconds_per_token
+        own_tokens = _own_prompt_tokens(work)
         best: str | None = None
-        least = math.inf
+        min_cost_s = math.inf
         for name, state in self._endpoints.items():
             if name in work.excluded or not state.usable(now):
                 continue
-            cost = self._cost(now, state, work, own, pace)
-            if best is None or cost < least:
-                best, least = name, cost
+            cost_s = self._cost_s(now, state, work, own_tokens, seconds_per_token)
+            if best is None or cost_s < min_cost_s:
+                best, min_cost_s = name, cost_s
         return best
 
-    def _cost(
-        self, now: float, state: EndpointState, work: Work, own: int, pace: float
+    def _cost_s(
+        self,
+        now: float,
+        state: EndpointState,
+        work: Work,
+        own_tokens: int,
+        seconds_per_token: float,
     ) -> float:
-        """Return the seconds that a placement costs this request and the others.
+        """Return the cost of a placement to this request and to others, in seconds.
 
         Parameters
         ----------
         now, state, work
-            When, where and what is placed.
-        own
+            Time, endpoint and request.
+        own_tokens
             Prompt tokens that only this request or its session uses.
-        pace
-            Seconds to read a token.
+        seconds_per_token
+            Prefill time of a token.
         """
         settings = self._settings
-        # Full slots hold a request back as surely as unread prompts do.
-        crowding = len(state.running) / state.endpoint.slots
-        cost = settings.failure_penalty_s * state.failure_rate
+        # A request waits for a free slot as it does for the prefill of others.
+        occupancy = len(state.running) / state.endpoint.slots
+        cost_s = settings.failure_penalty_s * state.failure_rate
         if state.endpoint.domain != self._domain:
-            cost += settings.domain_penalty_s
+            cost_s += settings.domain_penalty_s
         if work.prompt is None:
-            return cost + crowding
-        pace *= state.slowness(now)
-        unread = work.prompt.tokens - state.memory.kept_tokens(work.prompt)
-        reread = max(unread - own, 0)
-        ahead = state.backlog_tokens(now, pace)
+            return cost_s + occupancy
+        seconds_per_token *= state.slowdown(now)
+        uncached = work.prompt.tokens - state.cache.cached_tokens(work.prompt)
+        recomputed = max(uncached - own_tokens, 0)
+        ahead = state.backlog_tokens(now, seconds_per_token)
         ahead += self._waiting_tokens.get(state.endpoint.id, 0.0)
         return (
-            cost
-            + pace * (ahead + unread + settings.reread_weight * reread)
-            + crowding * settings.window_s
+            cost_s
+            + seconds_per_token
+            * (ahead + uncached + settings.recompute_weight * recomputed)
+            + occupancy * settings.prefill_ahead_s
         )
 
     def _has_room(self, now: float, state: EndpointState, work: Work) -> bool:
-        if len(state.running) >= self._slots(state):
+        if len(state.running) >= self._slot_limit(state):
             return False
-        if self._share < 1.0 and len(self._placed) >= self._share_of_slots():
+        if self._capacity_ratio < 1.0 and len(self._placed) >= self._total_slot_limit():
             return False
         if work.prompt is None or not state.running:
             return True
         engine = self._service.engine
         if engine is not None:
-            memory = engine.memory_tokens * self._settings.memory_ratio * self._share
-            if state.memory_tokens + _own_tokens(work) > memory:
+            max_tokens = (
+                engine.memory_tokens
+                * self._settings.memory_ratio
+                * self._capacity_ratio
+            )
+            if state.memory_tokens + _memory_tokens(work) > max_tokens:
                 return False
-        pace = self._pace(now, state)
-        backlog = state.backlog_tokens(now, pace)
-        return backlog * pace <= self._settings.window_s * self._share
+        seconds_per_token = self._seconds_per_token(now, state)
+        backlog = state.backlog_tokens(now, seconds_per_token)
+        return (
+            backlog * seconds_per_token
+            <= self._settings.prefill_ahead_s * self._capacity_ratio
+        )
 
-    def _slots(self, state: EndpointState) -> int:
-        return max(1, int(state.endpoint.slots * self._share))
+    def _slot_limit(self, state: EndpointState) -> int:
+        return max(1, int(state.endpoint.slots * self._capacity_ratio))
 
-    def _share_of_slots(self) -> int:
+    def _total_slot_limit(self) -> int:
         total = sum(state.endpoint.slots for state in self._endpoints.values())
-        return max(1, int(total * self._share))
+        return max(1, int(total * self._capacity_ratio))
 
-    def _must_wait(self, work: Work) -> bool:
-        """Return whether another organisation's requests come first."""
+    def _is_behind_others(self, work: Work) -> bool:
+        """Return whether waiting requests come before this one in fair order."""
         if not self._waiting:
             return False
-        own = self._fair.virtual_time(work.organisation)
+        virtual_time = self._fair_queue.virtual_time(work.organisation)
         return any(
-            self._fair.virtual_time(name) <= own for name in self._per_organisation
+            self._fair_queue.virtual_time(name) <= virtual_time
+            for name in self._waiting_per_organisation
         )
 
-    def _longest_wait(self, now: float, state: EndpointState, work: Work) -> float:
+    def _max_wait_s(self, now: float, state: EndpointState, work: Work) -> float:
         if work.prompt is None:
             return max(work.patience_s, 0.0)
-        # Even with room, the engine first reads what it was given in advance.
-        reading = self._demand(state, work) * self._pace(now, state)
-        reading += self._settings.window_s
-        in_aim = work.aim_s - self._speed.start_s - reading
-        return max(work.patience_s, in_aim, 0.0)
+        # Requests that were placed ahead are prefilled first.
+        prefill_s = self._uncached_tokens(state, work) * self._seconds_per_token(
+            now, state
+        )
+        prefill_s += self._settings.prefill_ahead_s
+        slack_s = work.aim_s - self._speed.start_s - prefill_s
+        return max(work.patience_s, slack_s, 0.0)
 
-    def _expected_wait(self, now: float, waiting: _Waiting) -> float:
+    def _expected_wait_s(self, now: float, waiting: _WaitingWork) -> float:
         """Return the seconds until the preferred endpoint has room."""
         work = waiting.work
         if waiting.preferred is None:
             return 0.0
         state = self._endpoints[waiting.preferred]
-        own = self._fair.virtual_time(work.organisation)
+        virtual_time = self._fair_queue.virtual_time(work.organisation)
         ahead = [
             item.work
             for item in self._waiting.values()
             if (work.prompt is None or item.preferred == waiting.preferred)
-            and self._fair.virtual_time(item.work.organisation) <= own
+            and self._fair_queue.virtual_time(item.work.organisation) <= virtual_time
         ]
-        until_slot = self._wait_for_slot(state, len(ahead), work.prompt is None)
+        slot_wait_s = self._slot_wait_s(state, len(ahead), work.prompt is None)
         if work.prompt is None:
-            return until_slot
-        pace = self._pace(now, state)
-        tokens = sum(self._demand(state, item) for item in ahead)
-        backlog = state.backlog_tokens(now, pace)
-        room = self._settings.window_s * self._share
-        return max((backlog + tokens) * pace - room, until_slot, 0.0)
-
-    def _wait_for_slot(self, state: EndpointState, ahead: int, anywhere: bool) -> float:
+            return slot_wait_s
+        seconds_per_token = self._seconds_per_token(now, state)
+        tokens = sum(self._uncached_tokens(state, item) for item in ahead)
+        backlog = state.backlog_tokens(now, seconds_per_token)
+        allowed_s = self._settings.prefill_ahead_s * self._capacity_ratio
+        return max((backlog + tokens) * seconds_per_token - allowed_s, slot_wait_s, 0.0)
+
+    def _slot_wait_s(
+        self, state: EndpointState, ahead: int, any_endpoint: bool
+    ) -> float:
         """Return the seconds until a slot is free for a request behind `ahead` others.
 
-        Plain requests take any endpoint of the service.
+        Requests to plain services may use any endpoint.
         """
-        states = list(self._endpoints.values()) if anywhere else [state]
-        slots = sum(self._slots(item) for item in states)
-        missing = ahead + 1 - slots + sum(len(item.running) for item in states)
-        return max(missing, 0) * self._duration_s / slots
+        states = list(self._endpoints.values()) if any_endpoint else [state]
+        slots = sum(self._slot_limit(item) for item in states)
+        missing_slots = ahead + 1 - slots + sum(len(item.running) for item in states)
+        return max(missing_slots, 0) * self._mean_duration_s / slots
 
     def _place(self, now: float, state: EndpointState, work: Work) -> Placed:
-        self._fair.serve(work.organisation)
-        self._fair.charge(work.organisation, self._units(state, work))
-        placed = self._note(now, state, work)
-        return Placed(work.key, state.endpoint.id, placed.unread_tokens)
-
-    def _note(self, now: float, state: EndpointState, work: Work) -> RunningWork:
-        unread = self._demand(state, work)
-        backlog = state.backlog_tokens(now, self._pace(now, state))
+        self._fair_queue.serve(work.organisation)
+        self._fair_queue.charge(work.organisation, self._charged_units(state, work))
+        running = self._add_running(now, state, work)
+        return Placed(work.key, state.endpoint.id, running.uncached_tokens)
+
+    def _add_running(self, now: float, state: EndpointState, work: Work) -> RunningWork:
+        uncached = self._uncached_tokens(state, work)
+        backlog = state.backlog_tokens(now, self._seconds_per_token(now, state))
         running = RunningWork(
-            unread_tokens=unread,
-            memory_tokens=_own_tokens(work),
-            backlog_tokens=backlog + unread,
+            uncached_tokens=uncached,
+            memory_tokens=_memory_tokens(work),
+            backlog_tokens=backlog + uncached,
             placed_at=now,
             fingerprint=work.fingerprint,
         )
         state.add(now, work.key, running)
         if work.prompt is not None:
-            state.memory.use(work.prompt)
+            state.cache.record_use(work.prompt)
         self._placed[work.key] = state.endpoint.id
         return running
 
     def _refuse(self, now: float, work: Work, reason: RefusalReason) -> Refused:
         settings = self._settings
         if work.prompt is None:
-            wait = settings.retry_least_s
+            wait_s = settings.retry_least_s
         else:
-            pace = self._speed.seconds_per_token
+            seconds_per_token = self._speed.seconds_per_token
             usable = [state for state in self._endpoints.values() if state.usable(now)]
             tokens = sum(self._waiting_tokens.values()) + sum(
-                state.backlog_tokens(now, pace) for state in usable
+                state.backlog_tokens(now, seconds_per_token) for state in usable
+            )
+            wait_s = (
+                tokens * seconds_per_token / len(usable)
+                if usable
+                else settings.retry_least_s
             )
-            wait = tokens * pace / len(usable) if usable else settings.retry_least_s
         return Refused(
             work.key,
             reason,
-            min(max(wait, settings.retry_least_s), settings.retry_most_s),
+            min(max(wait_s, settings.retry_least_s), settings.retry_most_s),
             work,
         )
 
-    def _demand(self, state: EndpointState, work: Work) -> int:
+    def _uncached_tokens(self, state: EndpointState, work: Work) -> int:
         if work.prompt is None:
             return 0
-        return max(work.prompt.tokens - state.memory.kept_tokens(work.prompt), 0)
+        return max(work.prompt.tokens - state.cache.cached_tokens(work.prompt), 0)
 
-    def _units(self, state: EndpointState, work: Work) -> float:
+    def _charged_units(self, state: EndpointState, work: Work) -> float:
         if work.prompt is None:
             return PLAIN_UNITS
         generated = GENERATED_WEIGHT * work.prompt.generated_tokens
-        return self._demand(state, work) + generated
+        return self._uncached_tokens(state, work) + generated
 
-    def _pace(self, now: float, state: EndpointState) -> float:
-        """Return the seconds to read a token at an engine."""
-        return self._speed.seconds_per_token * state.slowness(now)
+    def _seconds_per_token(self, now: float, state: EndpointState) -> float:
+        """Return the seconds in which an engine prefills a token."""
+        return self._speed.seconds_per_token * state.slowdown(now)
 
-    def _count_waiting(self, now: float, waiting: _Waiting, change: int) -> None:
+    def _count_waiting(self, now: float, waiting: _WaitingWork, change: int) -> None:
         organisation = waiting.work.organisation
-        count = self._per_organisation.get(organisation, 0) + change
+        count = self._waiting_per_organisation.get(organisation, 0) + change
         if count:
-            self._per_organisation[organisation] = count
+            self._waiting_per_organisation[organisation] = count
         else:
-            self._per_organisation.pop(organisation, None)
-        self._fair.set_demand(now, _ENTRY, organisation, count)
-        self._count_tokens(waiting, change)
+            self._waiting_per_organisation.pop(organisation, None)
+        self._fair_queue.set_demand(now, _FAIR_QUEUE_ENTRY, organisation, count)
+        self._count_waiting_tokens(waiting, change)
 
-    def _count_tokens(self, waiting: _Waiting, change: int) -> None:
+    def _count_waiting_tokens(self, waiting: _WaitingWork, change: int) -> None:
         if waiting.preferred is None or waiting.preferred not in self._endpoints:
             return
         total = self._waiting_tokens.get(waiting.preferred, 0.0)
         total += change * waiting.tokens
         self._waiting_tokens[waiting.preferred] = max(total, 0.0)
 
-    def _note_end(
+    def _record_end(
         self,
         now: float,
         state: EndpointState,
@@ -487,8 +523,10 @@
     ) -> None:
         match outcome:
             case WorkOutcome.SERVED:
-                taken = now - ended.placed_at
-                self._duration_s += DURATION_GAIN * (taken - self._duration_s)
+                duration_s = now - ended.placed_at
+                self._mean_duration_s += SLOT_DURATION_GAIN * (
+                    duration_s - self._mean_duration_s
+                )
                 self._suspects.clear(ended.fingerprint)
             case WorkOutcome.BROKEN if ended.fingerprint:
                 self._suspects.record(
@@ -499,7 +537,7 @@
                     alone=False,
                 )
 
-    def _forget(self, name: str) -> None:
+    def _remove_endpoint(self, name: str) -> None:
         state = self._endpoints.pop(name)
         self._waiting_tokens.pop(name, None)
         for key in state.running:
@@ -516,8 +554,8 @@
     return work.prompt.parts[-1].tokens if work.prompt.parts else work.prompt.tokens
 
 
-def _own_tokens(work: Work) -> int:
-    """Return the memory that a request takes beyond shared parts."""
+def _memory_tokens(work: Work) -> int:
+    """Return the tokens of engine memory that a request takes beyond shared parts."""
     if work.prompt is None:
         return 0
     return _own_prompt_tokens(work) + work.prompt.generated_tokens
--- a/borageworks/placement/memory_news.py
+++ b/borageworks/placement/memory_news.py
@@ -1,4 +1,4 @@
-"""News about the prompt parts that an engine keeps."""
+"""Updates about the prompt parts that an engine has cached."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeptPart:
-    """Tokens that an engine keeps of a part for a model; 0 if it keeps none."""
+    """Cached tokens of a prompt part for a model; 0 if the part was evicted."""
 
     part: str
     tokens: int
@@ -16,18 +16,18 @@
 
 @dataclass(frozen=True, slots=True)
 class MemoryNews:
-    """Changes of an engine's memory, or its whole content.
+    """Changes of an engine's prompt cache, or its whole content.
 
     Parameters
     ----------
     epoch
-        Changes when the engine restarts.
+        Identifies a run of the engine; changes at a restart.
     next
-        Number to ask from next time.
+        Sequence number to continue from.
     gap
-        Whether changes before these are missing.
+        Whether changes before these were lost.
     whole
-        Whether `parts` are all that the engine keeps.
+        Whether `parts` are the whole content.
     parts
         Parts in the order of their changes.
     """
--- a/borageworks/placement/outcome.py
+++ b/borageworks/placement/outcome.py
@@ -8,8 +8,10 @@
 class WorkOutcome(IntEnum):
     """How a placed request ended at its endpoint.
 
-    BROKEN means that the endpoint broke off, as one does that crashes; FAILED that it
-    answered with a failure.
+    LEFT means that the caller disconnected, SHED that the endpoint refused for lack of
+    capacity, BROKEN that its connection closed before the response was complete, as at
+    a crash, FAILED that it responded with an error, and GONE that it is no longer
+    listed.
     """
 
     SERVED = 0
--- a/borageworks/placement/retry_window.py
+++ b/borageworks/placement/retry_window.py
@@ -1,22 +1,22 @@
-"""Part of the fleet's retry budget that one instance may use."""
+"""Limit on retries by which one instance respects the fleet's retry budget."""
 
 from __future__ import annotations
 
 from collections import Counter, deque
 
-# Instances that have just started or left may use their part too.
-SAFETY = 0.6
-# One organisation among several may use this part of the retries, or its part of the
-# requests if that is more: its failures must not use up what the others need.
-ORGANISATION_PART = 0.5
+# Margin for instances that have just started or left and use their quota too.
+SAFETY_RATIO = 0.6
+# Fraction of the retries that one organisation among several may use, or its fraction
+# of the requests if that is more, so that its failures leave retries to the others.
+MAX_ORGANISATION_RATIO = 0.5
 
 
 class RetryWindow:
     """Retries to one service in a sliding window.
 
-    Every instance gets retries in proportion to its own requests, and an equal part of
-    the retries that the fleet has in any case. No organisation can use all of them
-    while others ask too.
+    Each instance may retry in proportion to its own requests, plus an equal fraction of
+    the fleet's extra retries. No organisation can use all of them while others send
+    requests too.
 
     Parameters
     ----------
@@ -25,7 +25,7 @@
     ratio
         Retries per request.
     extra
-        Further retries of the whole fleet in a window.
+        Retries per window that the whole fleet has regardless of its requests.
     """
 
     def __init__(self, window_s: float, ratio: float, extra: float) -> None:
@@ -34,8 +34,8 @@
         self._extra = extra
         self._requests: deque[tuple[float, str]] = deque()
         self._retries: deque[tuple[float, str]] = deque()
-        self._requests_of: Counter[str] = Counter()
-        self._retries_of: Counter[str] = Counter()
+        self._requests_by_organisation: Counter[str] = Counter()
+        self._retries_by_organisation: Counter[str] = Counter()
 
     def configure(self, window_s: float, ratio: float, extra: float) -> None:
         """Apply a changed budget."""
@@ -46,33 +46,39 @@
     def record_request(self, now: float, organisation: str = "") -> None:
         """Count a request."""
         self._requests.append((now, organisation))
-        self._requests_of[organisation] += 1
-        self._forget(now)
+        self._requests_by_organisation[organisation] += 1
+        self._expire(now)
 
     def take(self, now: float, instances: int, organisation: str = "") -> bool:
-        """Count a retry if the budget allows it; `instances` share the extra ones."""
-        self._forget(now)
+        """Count a retry if the budget of one of `instances` instances allows it."""
+        self._expire(now)
         requests = len(self._requests)
         allowed = self._ratio * requests + self._extra / max(instances, 1)
-        allowed *= SAFETY
+        allowed *= SAFETY_RATIO
         if len(self._retries) + 1 > allowed:
             return False
-        own = self._requests_of[organisation]
-        part = max(ORGANISATION_PART, own / requests if requests else 1.0)
-        others = own < requests
-        if others and self._retries_of[organisation] + 1 > part * allowed:
+        own_requests = self._requests_by_organisation[organisation]
+        organisation_ratio = max(
+            MAX_ORGANISATION_RATIO, own_requests / requests if requests else 1.0
+        )
+        has_others = own_requests < requests
+        if (
+            has_others
+            and self._retries_by_organisation[organisation] + 1
+            > organisation_ratio * allowed
+        ):
             return False
         self._retries.append((now, organisation))
-        self._retries_of[organisation] += 1
+        self._retries_by_organisation[organisation] += 1
         return True
 
-    def _forget(self, now: float) -> None:
-        oldest = now - self._window_s
+    def _expire(self, now: float) -> None:
+        window_start = now - self._window_s
         for entries, counts in (
-            (self._requests, self._requests_of),
-            (self._retries, self._retries_of),
+            (self._requests, self._requests_by_organisation),
+            (self._retries, self._retries_by_organisation),
         ):
-            while entries and entries[0][0] < oldest:
+            while entries and entries[0][0] < window_start:
                 _, organisation = entries.popleft()
                 counts[organisation] -= 1
                 if not counts[organisation]:
--- a/borageworks/placement/settings.py
+++ b/borageworks/placement/settings.py
@@ -11,25 +11,25 @@
 
     Parameters
     ----------
-    window_s
-        Reading time that an engine is given in advance, so that it does not idle while
-        news of its progress travel and a next request is sent.
-    reread_weight
-        Seconds that reading a shared part once more is taken to cost, per second of
-        reading: it also displaces another part from memory.
+    prefill_ahead_s
+        Prefill time that may be queued at an engine, so that it does not idle until its
+        progress is reported and the next request arrives.
+    recompute_weight
+        Cost of prefilling a shared part again, per second of prefill. It exceeds 1
+        since the part also evicts another one from memory.
     failure_penalty_s
-        Seconds by which an endpoint that always fails looks slower.
+        Cost of an endpoint at which every request fails.
     domain_penalty_s
-        Seconds by which an endpoint looks slower in another failure domain.
+        Cost of an endpoint in another failure domain.
     memory_ratio
-        Part of an engine's memory that running requests may take; the rest keeps
-        shared parts and the growth of answers.
+        Fraction of an engine's memory that running requests may take; the rest is for
+        cached shared parts and for responses as they grow.
     retry_least_s, retry_most_s
-        Bounds of the time after which a refused caller is told to come back.
+        Bounds of the Retry-After of refused requests.
     """
 
-    window_s: float = 0.08
-    reread_weight: float = 4.0
+    prefill_ahead_s: float = 0.08
+    recompute_weight: float = 4.0
     failure_penalty_s: float = 1.0
     domain_penalty_s: float = 0.002
     memory_ratio: float = 0.6
--- a/borageworks/placement/shards.py
+++ b/borageworks/placement/shards.py
@@ -1,4 +1,4 @@
-"""Division of a service's endpoints into groups that one instance each places on."""
+"""Division of a service's endpoints into shards with one placing instance each."""
 
 from __future__ import annotations
 
@@ -7,33 +7,31 @@
 from borageworks.gateway.caller_request import Prompt
 from borageworks.routing.rendezvous import rendezvous
 
-# One instance compares this many endpoints for a request in well under a millisecond,
-# and its group is large enough for load to even out inside it.
+# Few enough to compare for each request in well under a millisecond, and enough for
+# load to even out within a shard.
 ENDPOINTS_PER_SHARD = 16
+# Shared parts whose shard is cached, since hashing over all endpoints is slow.
+MAX_CACHED_PARTS = 4096
 
-
-# Shared parts whose group is remembered; the hash over all endpoints takes a while.
-REMEMBERED_PARTS = 4096
-
-# Service, and number of the group.
+# Service, and number of the shard.
 Shard = tuple[str, int]
 
 
 def shard_count(endpoints: int) -> int:
-    """Return the number of groups for a number of endpoints."""
+    """Return the number of shards for a number of endpoints."""
     return max(1, -(-endpoints // ENDPOINTS_PER_SHARD))
 
 
 def shard_of_endpoint(endpoint: str, shards: int) -> int:
-    """Return the group of an endpoint; few change group when their number does."""
+    """Return the shard of an endpoint; few endpoints move if `shards` changes."""
     if shards == 1:
         return 0
-    best = rendezvous(endpoint, [str(shard) for shard in range(shards)])
-    return int(best or 0)
+    selected = rendezvous(endpoint, [str(shard) for shard in range(shards)])
+    return int(selected or 0)
 
 
 class HomeShards:
-    """Groups of a service's endpoints, and the group that each request belongs to.
+    """Shards of a service's endpoints, and the shard that each request belongs to.
 
     Parameters
     ----------
@@ -47,27 +45,27 @@
         self.of_endpoint = {
             endpoint: shard_of_endpoint(endpoint, self.count) for endpoint in endpoints
         }
-        self._of_part: OrderedDict[str, int] = OrderedDict()
+        self._shard_by_part: OrderedDict[str, int] = OrderedDict()
 
     def find(self, prompt: Prompt | None, request_id: str) -> int:
-        """Return the group that a request belongs to.
+        """Return the shard that a request belongs to.
 
-        Requests that share all of their prompt but their own last part share a group.
-        The first part alone would not spread them: many prompts begin alike. A group
-        gets requests in proportion to its endpoints, since the key selects an endpoint
-        first.
+        Prompts that differ only in their last part, the request's own, belong to one
+        shard. The first part as key would not spread them, since many prompts begin
+        alike. A shard gets requests in proportion to its endpoints, since the key
+        selects an endpoint first.
         """
         if self.count == 1:
             return 0
         if prompt is None or len(prompt.parts) < 2:
             return self._select(request_id)
         part = prompt.parts[-2].id
-        known = self._of_part.get(part)
-        if known is None:
-            known = self._of_part[part] = self._select(part)
-            if len(self._of_part) > REMEMBERED_PARTS:
-                self._of_part.popitem(last=False)
-        return known
+        shard = self._shard_by_part.get(part)
+        if shard is None:
+            shard = self._shard_by_part[part] = self._select(part)
+            if len(self._shard_by_part) > MAX_CACHED_PARTS:
+                self._shard_by_part.popitem(last=False)
+        return shard
 
     def _select(self, key: str) -> int:
         return self.of_endpoint[rendezvous(key, self.endpoints) or ""]
--- a/borageworks/placement/tests/builders.py
+++ b/borageworks/placement/tests/builders.py
@@ -1,4 +1,4 @@
-"""Builders and a model of engines for the tests of placement."""
+"""Builders and a simulation of engines for the tests of placement."""
 
 from __future__ import annotations
 
@@ -15,24 +15,24 @@
 from borageworks.placement.settings import PlacementSettings
 from borageworks.placement.work import Work, WorkKey
 
-READ_TOKENS_PER_S = 40_000.0
+PREFILL_TOKENS_PER_S = 40_000.0
 STEP_S = 0.01
-GENERATE_S = 0.5
+DECODE_S = 0.5
 
 
 def endpoint(name, service="engines", slots=8, **changes):
-    """Return an entry of the list of endpoints."""
+    """Return an entry in the list of endpoints."""
     plain = Endpoint(name, service, "10.0.0.1", 80, "a", slots, False)
     return replace(plain, **changes)
 
 
 def engines(count, **changes):
-    """Return entries of several engines."""
+    """Return entries for several engines."""
     return [endpoint(f"e{number}", **changes) for number in range(count)]
 
 
 def engine_dispatcher(
-    count=3, memory_tokens=100_000, tokens_per_s=READ_TOKENS_PER_S / 2, slots=24
+    count=3, memory_tokens=100_000, tokens_per_s=PREFILL_TOKENS_PER_S / 2, slots=24
 ):
     """Return a dispatcher over idle engines."""
     profile = ServiceProfile("engines", EngineProfile(8, memory_tokens))
@@ -43,7 +43,7 @@
 
 
 def plain_dispatcher(count=3, slots=2):
-    """Return a dispatcher over idle plain services."""
+    """Return a dispatcher over idle endpoints of a plain service."""
     profile = ServiceProfile("desk", None)
     dispatcher = Dispatcher(profile, PlacementSettings(), "a")
     members = [endpoint(f"d{n}", "desk", slots) for n in range(count)]
@@ -54,48 +54,48 @@
 _NUMBERS = itertools.count(1)
 
 
-def prompt(own=1000, shared=0, about="s", generated=50):
+def prompt(own=1000, shared=0, shared_id="s", generated=50):
     """Return a prompt with one shared part and one of its own."""
     parts = [PromptPart(f"own-{next(_NUMBERS)}", own)]
     if shared:
-        parts.insert(0, PromptPart(about, shared))
+        parts.insert(0, PromptPart(shared_id, shared))
     return Prompt("m", own + shared, generated, tuple(parts))
 
 
-def work(described=None, organisation="o", aim_s=0.6, instance="i", **changes):
+def work(request_prompt=None, organisation="o", aim_s=0.6, instance="i", **changes):
     """Return a request that needs an endpoint."""
     key = instance, next(_NUMBERS)
-    return Work(key, organisation, aim_s, aim_s / 4, described, **changes)
+    return Work(key, organisation, aim_s, aim_s / 4, request_prompt, **changes)
 
 
 @dataclass
-class Fleet:
-    """Engines that read prompts in order of arrival, driven by a dispatcher.
+class EngineSimulation:
+    """Simulates engines that prefill prompts in order of arrival under a dispatcher.
 
-    Counts what became of requests by organisation. `slow` names engines that read more
-    slowly, by a factor.
+    Counts results by organisation. `slowdowns` maps engines to factors by which their
+    prefill is slower.
     """
 
     dispatcher: Dispatcher
     now: float = 0.0
-    in_aim: dict[str, int] = field(default_factory=dict)
+    on_time: dict[str, int] = field(default_factory=dict)
     late: dict[str, int] = field(default_factory=dict)
     refused: dict[str, int] = field(default_factory=dict)
     served_tokens: dict[str, float] = field(default_factory=dict)
-    read_tokens: float = 0.0
+    prefilled_tokens: float = 0.0
     busy_until: dict[str, float] = field(default_factory=dict)
-    slow: dict[str, float] = field(default_factory=dict)
-    read_tokens_per_s: float = READ_TOKENS_PER_S
-    _works: dict[WorkKey, tuple[Work, float]] = field(default_factory=dict)
+    slowdowns: dict[str, float] = field(default_factory=dict)
+    prefill_tokens_per_s: float = PREFILL_TOKENS_PER_S
+    _submitted: dict[WorkKey, tuple[Work, float]] = field(default_factory=dict)
     _events: list[tuple[float, int, str, WorkKey]] = field(default_factory=list)
 
     def submit(self, request):
-        """Hand a request to the dispatcher."""
-        self._works[request.key] = request, self.now
-        self._take(self.dispatcher.submit(self.now, request))
+        """Submit a request to the dispatcher."""
+        self._submitted[request.key] = request, self.now
+        self._apply(self.dispatcher.submit(self.now, request))
 
     def advance(self, seconds):
-        """Let time pass."""
+        """Advance the simulated time."""
         end = self.now + seconds
         while self.now < end - 1e-9:
             self.now += STEP_S
@@ -103,39 +103,43 @@
                 _, _, kind, key = heapq.heappop(self._events)
                 if kind == "start":
                     self._count_start(key)
-                    self._take(self.dispatcher.start(self.now, key))
+                    self._apply(self.dispatcher.start(self.now, key))
                 else:
-                    self._take(self.dispatcher.end(self.now, key, WorkOutcome.SERVED))
-            self._take(self.dispatcher.tick(self.now))
+                    self._apply(self.dispatcher.end(self.now, key, WorkOutcome.SERVED))
+            self._apply(self.dispatcher.tick(self.now))
 
-    def _take(self, decisions):
+    def _apply(self, decisions):
         for decision in decisions:
-            request, _ = self._works[decision.key]
+            request, _ = self._submitted[decision.key]
             match decision:
                 case Refused():
-                    self._add(self.refused, request, 1)
-                case Placed(endpoint=name, unread_tokens=unread):
-                    self.read_tokens += unread
+                    self._increment(self.refused, request, 1)
+                case Placed(endpoint=name, unread_tokens=uncached):
+                    self.prefilled_tokens += uncached
                     start = max(self.busy_until.get(name, 0.0), self.now)
-                    start += unread * self.slow.get(name, 1.0) / self.read_tokens_per_s
+                    start += (
+                        uncached
+                        * self.slowdowns.get(name, 1.0)
+                        / self.prefill_tokens_per_s
+                    )
                     self.busy_until[name] = start
                     self._push(start, "start", decision.key)
-                    self._push(start + GENERATE_S, "end", decision.key)
+                    self._push(start + DECODE_S, "end", decision.key)
 
-    def _push(self, at, kind, key):
-        heapq.heappush(self._events, (at, next(_NUMBERS), kind, key))
+    def _push(self, due_at, kind, key):
+        heapq.heappush(self._events, (due_at, next(_NUMBERS), kind, key))
 
     def _count_start(self, key):
-        request, asked_at = self._works[key]
-        # The model sees an event up to one step after it has happened.
-        taken = self.now - STEP_S - asked_at
-        kind = self.in_aim if taken <= request.aim_s else self.late
-        self._add(kind, request, 1)
+        request, submitted_at = self._submitted[key]
+        # Events are processed up to one step after they happen.
+        first_token_s = self.now - STEP_S - submitted_at
+        kind = self.on_time if first_token_s <= request.aim_s else self.late
+        self._increment(kind, request, 1)
         assert request.prompt is not None
         tokens = request.prompt.tokens + 2 * request.prompt.generated_tokens
-        self._add(self.served_tokens, request, tokens)
+        self._increment(self.served_tokens, request, tokens)
 
     @staticmethod
-    def _add(counts, request, amount):
+    def _increment(counts, request, amount):
         name = request.organisation
         counts[name] = counts.get(name, 0) + amount
--- a/borageworks/placement/tests/test_dispatcher.py
+++ b/borageworks/placement/tests/test_dispatcher.py
@@ -1,4 +1,4 @@
-"""Tests of the dispatcher's single decisions."""
+"""Tests of single decisions of the dispatcher."""
 
 from testtools import TestCase
 
@@ -21,8 +21,8 @@
         self.assertIsInstance(decision, Placed)
         return decision.endpoint
 
-    def test_requests_with_a_shared_part_meet_at_one_engine(self):
-        """Guards against reading a shared part on every engine."""
+    def test_requests_with_a_shared_part_go_to_one_engine(self):
+        """Guards against prefilling a shared part on every engine."""
         dispatcher = engine_dispatcher()
         names = set()
         for step in range(6):
@@ -31,21 +31,21 @@
             dispatcher.start(step + 0.4, request.key)
         self.assertEqual(1, len(names))
 
-    def test_news_of_an_engine_replace_what_was_believed(self):
-        """Guards against placing by memory that has yielded meanwhile."""
+    def test_update_of_an_engine_replaces_the_estimate(self):
+        """Guards against placing by cached parts that the engine has evicted."""
         dispatcher = engine_dispatcher()
         first = work(prompt(shared=8000, own=100))
-        home = self.placed(dispatcher.submit(0.0, first))
+        first_engine = self.placed(dispatcher.submit(0.0, first))
         dispatcher.end(0.5, first.key, WorkOutcome.SERVED)
-        other = next(name for name in dispatcher.endpoints if name != home)
-        dispatcher.learn(home, MemoryNews("1", 5, False, True, ()))
-        kept = (KeptPart("s", 8000, "m"),)
-        dispatcher.learn(other, MemoryNews("1", 5, False, True, kept))
+        other = next(name for name in dispatcher.endpoints if name != first_engine)
+        dispatcher.learn(first_engine, MemoryNews("1", 5, False, True, ()))
+        cached = (KeptPart("s", 8000, "m"),)
+        dispatcher.learn(other, MemoryNews("1", 5, False, True, cached))
         second = work(prompt(shared=8000, own=100))
         self.assertEqual(other, self.placed(dispatcher.submit(1.0, second)))
 
-    def test_leaving_and_excluded_engines_get_nothing(self):
-        """Guards against new work for endpoints that leave or failed."""
+    def test_leaving_and_excluded_engines_get_no_requests(self):
+        """Guards against placing on endpoints that are leaving or are excluded."""
         dispatcher = engine_dispatcher()
         listed = [*engines(2), endpoint("e2", leaving=True)]
         dispatcher.set_endpoints(0.0, listed)
@@ -54,25 +54,25 @@
             self.assertEqual("e1", self.placed(dispatcher.submit(0.0, request)))
 
     def test_without_engines_a_request_is_refused_at_once(self):
-        """Guards against waiting for what will not come."""
+        """Guards against queueing requests that no endpoint can serve."""
         dispatcher = engine_dispatcher()
         dispatcher.set_endpoints(0.0, [])
         (decision,) = dispatcher.submit(0.0, work(prompt()))
         self.assertEqual(RefusalReason.NO_ENDPOINT, decision.reason)
 
-    def test_unreachable_engine_is_left_out_for_a_while(self):
+    def test_unreachable_engine_is_suspended(self):
         """Guards against sending all requests to an engine that is down."""
         dispatcher = engine_dispatcher(count=2)
         first = work(prompt())
-        lost = self.placed(dispatcher.submit(0.0, first))
+        unreachable = self.placed(dispatcher.submit(0.0, first))
         dispatcher.end(0.01, first.key, WorkOutcome.UNREACHABLE)
-        found = {
+        selected = {
             self.placed(dispatcher.submit(0.02, work(prompt(own=1)))) for _ in range(4)
         }
-        self.assertNotIn(lost, found)
+        self.assertNotIn(unreachable, selected)
 
-    def test_suspected_engine_is_tried_with_one_request(self):
-        """Guards against a stampede at an engine that is back, or is not."""
+    def test_half_open_engine_gets_one_request(self):
+        """Guards against sending all requests at once to an engine that may be down."""
         dispatcher = engine_dispatcher(count=1)
         first = work(prompt())
         dispatcher.submit(0.0, first)
@@ -86,19 +86,19 @@
         dispatcher.end(5.1, probe.key, WorkOutcome.SERVED)
         self.placed(dispatcher.submit(5.2, work(prompt())))
 
-    def test_restarted_engine_keeps_nothing(self):
-        """Guards against believing in memory of an earlier start."""
+    def test_restart_empties_the_cache(self):
+        """Guards against cached parts that outlive a restart of the engine."""
         dispatcher = engine_dispatcher(count=1)
         request = work(prompt(shared=5000, own=10))
         dispatcher.submit(0.0, request)
         dispatcher.set_endpoints(1.0, [endpoint("e0", started_ms=7)])
         (state,) = dispatcher.endpoints.values()
-        self.assertEqual((0, {}), (state.memory.tokens, state.running))
+        self.assertEqual((0, {}), (state.cache.tokens, state.running))
         (decision,) = dispatcher.submit(1.0, work(prompt(shared=5000, own=10)))
         self.assertEqual(5010, decision.unread_tokens)
 
     def test_plain_requests_spread_and_wait_for_a_slot(self):
-        """Guards against more requests at a service than it runs at once."""
+        """Guards against more requests at an endpoint than it has slots."""
         dispatcher = plain_dispatcher(count=2, slots=1)
         running = [work(aim_s=0.2) for _ in range(2)]
         names = {self.placed(dispatcher.submit(0.0, item)) for item in running}
@@ -109,7 +109,7 @@
         self.assertEqual(waiting.key, decision.key)
 
     def test_request_that_waits_too_long_is_refused(self):
-        """Guards against holding a request until its caller gives up."""
+        """Guards against queueing a request until its caller times out."""
         dispatcher = plain_dispatcher(count=1, slots=1)
         dispatcher.submit(0.0, work(aim_s=0.2))
         waiting = work(aim_s=0.2)
@@ -118,8 +118,8 @@
         self.assertEqual(RefusalReason.WAITED, decision.reason)
         self.assertEqual(0, dispatcher.waiting)
 
-    def test_lost_instance_frees_what_it_held(self):
-        """Guards against slots that a lost instance holds for ever."""
+    def test_lost_instance_frees_its_slots(self):
+        """Guards against slots that stay occupied by requests of a lost instance."""
         dispatcher = plain_dispatcher(count=1, slots=1)
         dispatcher.submit(0.0, work(instance="lost"))
         dispatcher.submit(0.0, work(instance="lost"))
@@ -128,14 +128,14 @@
         decisions = dispatcher.drop_instance(0.1, "lost")
         self.assertEqual([waiting.key], [decision.key for decision in decisions])
 
-    def test_adopted_requests_count_against_the_room(self):
-        """Guards against a new owner that takes busy engines for idle."""
+    def test_adopted_requests_occupy_slots(self):
+        """Guards against a new owner that overloads busy endpoints."""
         dispatcher = plain_dispatcher(count=1, slots=1)
         dispatcher.adopt(0.0, work(), "d0", True)
         self.assertEqual([], dispatcher.submit(0.0, work()))
 
-    def test_withdrawn_request_leaves_no_trace(self):
-        """Guards against room that is lost with callers that leave."""
+    def test_withdrawn_request_frees_its_slot(self):
+        """Guards against slots that stay occupied after the caller disconnected."""
         dispatcher = plain_dispatcher(count=1, slots=1)
         placed, waiting = work(), work()
         dispatcher.submit(0.0, placed)
@@ -156,31 +156,31 @@
             dispatcher.end(now, request.key, outcome)
         return decision
 
-    def break_at_all(self, dispatcher, outcome=WorkOutcome.BROKEN):
+    def break_at_three(self, dispatcher, outcome=WorkOutcome.BROKEN):
         names: list[str] = []
         for step in range(3):
             placed = self.run_once(dispatcher, step * 0.1, outcome, excluded=names)
             names.append(placed.endpoint)
 
     def test_request_that_breaks_off_at_three_endpoints_is_refused(self):
-        """Guards against a request that takes down one endpoint after the other."""
+        """Guards against a request that crashes one endpoint after another."""
         dispatcher = engine_dispatcher(4)
-        self.break_at_all(dispatcher)
+        self.break_at_three(dispatcher)
         refused = self.run_once(dispatcher, 1.0, WorkOutcome.SERVED)
         self.assertEqual(RefusalReason.SUSPECTED, refused.reason)
         other = self.run_once(dispatcher, 1.0, WorkOutcome.SERVED, b"other")
         self.assertIsInstance(other, Placed)
 
-    def test_answers_with_a_failure_are_no_crashes(self):
-        """Guards against refusing requests that an endpoint dislikes."""
+    def test_error_responses_are_no_crashes(self):
+        """Guards against taking error responses for crashes."""
         dispatcher = engine_dispatcher(4)
-        self.break_at_all(dispatcher, WorkOutcome.FAILED)
+        self.break_at_three(dispatcher, WorkOutcome.FAILED)
         self.assertIsInstance(
             self.run_once(dispatcher, 1.0, WorkOutcome.SERVED), Placed
         )
 
-    def test_success_clears_a_request(self):
-        """Guards against blaming a request for the endpoints' own crashes."""
+    def test_success_clears_suspicion(self):
+        """Guards against refusing a request for crashes that it did not cause."""
         dispatcher = engine_dispatcher(4)
         for step in range(6):
             outcome = WorkOutcome.SERVED if step % 2 else WorkOutcome.BROKEN
--- a/borageworks/placement/tests/test_bookkeeping.py
+++ b/borageworks/placement/tests/test_dispatcher_totals.py
@@ -1,4 +1,4 @@
-"""Compares the dispatcher's running totals with naive ones, over random events."""
+"""Compares the dispatcher's running totals with recomputed ones over random events."""
 
 from collections import Counter
 
@@ -26,23 +26,23 @@
 OUTCOMES = tuple(WorkOutcome)
 
 
-class Book:
-    """What became of each request, kept without totals."""
+class RequestModel:
+    """State of each request, from which totals are recomputed."""
 
     def __init__(self, dispatcher, names):
         self.dispatcher = dispatcher
         self.names = names
         self.now = 0.0
-        self.works = {}
+        self.submitted = {}
         self.waiting = []
         self.placed = {}
         self.started = set()
         self.refused = set()
 
-    def take(self, decisions):
+    def apply(self, decisions):
         for decision in decisions:
             key = decision.key
-            assert key in self.waiting, f"{key} was decided twice"
+            assert key in self.waiting, f"decision for {key}, which is not waiting"
             self.waiting.remove(key)
             match decision:
                 case Placed(endpoint=name):
@@ -54,61 +54,65 @@
         self.now += delay
         match kind:
             case "submit":
-                described = None
+                request_prompt = None
                 if self.dispatcher.has_engines:
-                    described = prompt(
+                    request_prompt = prompt(
                         own=number * 5,
                         shared=(number % 3) * 3000,
-                        about=f"s{number % 4}",
+                        shared_id=f"s{number % 4}",
                     )
-                request = work(described, f"o{number % 3}", aim_s=0.2 + number / 1000)
-                self.works[request.key] = request
+                request = work(
+                    request_prompt, f"o{number % 3}", aim_s=0.2 + number / 1000
+                )
+                self.submitted[request.key] = request
                 self.waiting.append(request.key)
-                self.take(self.dispatcher.submit(self.now, request))
+                self.apply(self.dispatcher.submit(self.now, request))
             case "start" if self.placed:
-                key = self.pick(number)
+                key = self.select(number)
                 self.started.add(key)
-                self.take(self.dispatcher.start(self.now, key))
+                self.apply(self.dispatcher.start(self.now, key))
             case "end" if self.placed:
-                key = self.pick(number)
+                key = self.select(number)
                 del self.placed[key]
                 outcome = OUTCOMES[number % len(OUTCOMES)]
-                self.take(self.dispatcher.end(self.now, key, outcome))
+                self.apply(self.dispatcher.end(self.now, key, outcome))
             case "withdraw" if self.waiting:
                 key = self.waiting.pop(number % len(self.waiting))
-                self.take(self.dispatcher.withdraw(self.now, key))
+                self.apply(self.dispatcher.withdraw(self.now, key))
             case "list":
                 listed = self.names[number % 2 :]
-                gone = {name for name in self.names if name not in listed}
-                self.placed = {k: n for k, n in self.placed.items() if n not in gone}
+                unlisted = {name for name in self.names if name not in listed}
+                self.placed = {
+                    k: n for k, n in self.placed.items() if n not in unlisted
+                }
                 service = "engines" if self.dispatcher.has_engines else "desk"
                 entries = [endpoint(name, service, slots=3) for name in listed]
-                self.take(self.dispatcher.set_endpoints(self.now, entries))
+                self.apply(self.dispatcher.set_endpoints(self.now, entries))
             case _:
-                self.take(self.dispatcher.tick(self.now))
+                self.apply(self.dispatcher.tick(self.now))
 
-    def pick(self, number):
+    def select(self, number):
         return sorted(self.placed)[number % len(self.placed)]
 
 
 class BookkeepingTest(TestCase):
-    def check(self, book):
-        dispatcher = book.dispatcher
+    def check(self, model):
+        dispatcher = model.dispatcher
         running = {
             key: name
             for name, state in dispatcher.endpoints.items()
             for key in state.running
         }
-        self.assertEqual(book.placed, running)
-        self.assertEqual(len(book.waiting), dispatcher.waiting)
+        self.assertEqual(model.placed, running)
+        self.assertEqual(len(model.waiting), dispatcher.waiting)
         for state in dispatcher.endpoints.values():
-            unread = [
-                item.unread_tokens
+            uncached = [
+                item.uncached_tokens
                 for item in state.running.values()
                 if item.started_at is None
             ]
-            self.assertEqual(sum(unread), state.unread_tokens)
-            self.assertEqual(unread, list(state.reading.values()))
+            self.assertEqual(sum(uncached), state.uncached_tokens)
+            self.assertEqual(uncached, list(state.prefilling.values()))
             memory = sum(item.memory_tokens for item in state.running.values())
             self.assertEqual(memory, state.memory_tokens)
         tokens: Counter[str] = Counter()
@@ -117,29 +121,31 @@
             organisations[item.work.organisation] += 1
             if item.preferred is not None:
                 tokens[item.preferred] += item.tokens
-        self.assertEqual(dict(organisations), dispatcher._per_organisation)
-        counted = {name: n for name, n in dispatcher._waiting_tokens.items() if n}
-        self.assertEqual({name: n for name, n in tokens.items() if n}, counted)
+        self.assertEqual(dict(organisations), dispatcher._waiting_per_organisation)
+        waiting_tokens = {
+            name: n for name, n in dispatcher._waiting_tokens.items() if n
+        }
+        self.assertEqual({name: n for name, n in tokens.items() if n}, waiting_tokens)
 
-    def play(self, dispatcher, names, steps):
-        book = Book(dispatcher, names)
+    def run_steps(self, dispatcher, names, steps):
+        model = RequestModel(dispatcher, names)
         for step in steps:
-            book.step(*step)
-            self.check(book)
-        # Whoever still waits is decided once the time to wait has passed.
+            model.step(*step)
+            self.check(model)
+        # All waiting requests are decided once their time to wait has passed.
         for _ in range(4):
-            book.step("tick", 0, 2.0)
-        self.assertEqual([], book.waiting)
+            model.step("tick", 0, 2.0)
+        self.assertEqual([], model.waiting)
 
     @SETTINGS
     @given(st.lists(STEP, min_size=5, max_size=60))
-    def test_totals_of_engines_are_those_of_their_requests(self, steps):
-        """Guards against totals that drift from what runs and waits."""
+    def test_totals_of_engines_match_their_requests(self, steps):
+        """Guards against totals that diverge from the running and waiting requests."""
         names = [item.id for item in engines(3)]
-        self.play(engine_dispatcher(3, slots=3), names, steps)
+        self.run_steps(engine_dispatcher(3, slots=3), names, steps)
 
     @SETTINGS
     @given(st.lists(STEP, min_size=5, max_size=60))
-    def test_totals_of_plain_services_are_those_of_their_requests(self, steps):
-        """Guards against slots that stay taken."""
-        self.play(plain_dispatcher(3, slots=3), ["d0", "d1", "d2"], steps)
+    def test_totals_of_plain_services_match_their_requests(self, steps):
+        """Guards against slots that are never released."""
+        self.run_steps(plain_dispatcher(3, slots=3), ["d0", "d1", "d2"], steps)
--- a/borageworks/placement/work.py
+++ b/borageworks/placement/work.py
@@ -1,4 +1,4 @@
-"""A request as placement sees it."""
+"""Request that placement selects an endpoint for."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 from borageworks.gateway.caller_request import Prompt
 
 WorkKey = tuple[str, int]
-# Generated tokens cost an engine about twice as much as prompt tokens; the operator's
-# throughput figure counts them so.
+# Generating a token costs an engine about twice as much as prefilling one, and the
+# throughput that the operator states counts it so.
 GENERATED_WEIGHT = 2.0
-# What a request to a plain service counts.
+# Charge of a request to a plain service.
 PLAIN_UNITS = 1.0
 
 
@@ -21,20 +21,20 @@
     Parameters
     ----------
     key
-        Instance that holds the request, and its number there.
+        Entry instance of the request, and its number there.
     organisation
-        Organisation that is charged.
+        Organisation that the request is charged to.
     aim_s
-        Seconds from now in which the first part of the answer is of full use; negative
-        when that time has passed.
+        Seconds left of the target latency to the first output; negative if exceeded.
     patience_s
-        Seconds that the request may wait for a free endpoint even if it is then late.
+        Seconds that the request may wait for an endpoint even if it exceeds its target
+        latency.
     prompt
         Prompt for a model engine, None for plain services.
     excluded
-        Endpoints that must not run it, since they failed to.
+        Endpoints that must not run it, since an attempt failed there.
     fingerprint
-        Hash that equal requests of an organisation share, empty if unknown.
+        Hash that identical requests of an organisation share, empty if unknown.
     """
 
     key: WorkKey
@@ -47,7 +47,7 @@
 
     @property
     def units(self) -> float:
-        """Tokens that it asks for, a generated one counted twice; 1 if plain."""
+        """Charge in tokens, with generated ones weighted; 1 for a plain service."""
         if self.prompt is None:
             return PLAIN_UNITS
         return self.prompt.tokens + GENERATED_WEIGHT * self.prompt.generated_tokens
