--- a/borageworks/placement/dispatcher.py
+++ b/borageworks/placement/dispatcher.py
@@ -534,7 +534,7 @@
                     ended.fingerprint,
                     state.endpoint.id,
                     state.endpoint.incarnation,
-                    alone=False,
+                    isolated=False,
                 )
 
     def _remove_endpoint(self, name: str) -> None:
--- a/borageworks/routing/budget.py
+++ b/borageworks/routing/budget.py
@@ -1,4 +1,4 @@
-"""Retry budget, so that retries cannot multiply load."""
+"""Retry budget, which limits retries to a fraction of first attempts."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 from borageworks.config.settings import RetrySettings
 
-MAX_ENTRIES = 4096
+MAX_BUCKETS = 4096
 
 
 class RetryBudget:
@@ -20,12 +20,12 @@
         self._tokens: OrderedDict[tuple[str, str], float] = OrderedDict()
 
     def record_first_attempt(self, organisation: str, service: str) -> None:
-        """Add the tokens that one new request earns."""
+        """Add the tokens for one new request."""
         key = organisation, service
         tokens = self._tokens.get(key, self._settings.burst) + self._settings.ratio
         self._tokens[key] = min(tokens, self._settings.burst)
         self._tokens.move_to_end(key)
-        if len(self._tokens) > MAX_ENTRIES:
+        if len(self._tokens) > MAX_BUCKETS:
             self._tokens.popitem(last=False)
 
     def take_retry(self, organisation: str, service: str) -> bool:
--- a/borageworks/routing/queue.py
+++ b/borageworks/routing/queue.py
@@ -1,4 +1,4 @@
-"""Queue of the requests that wait at one entry instance."""
+"""Queue of waiting requests at one entry instance."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 from borageworks.config.settings import QueueSettings
 from borageworks.exceptions import InstanceQueueFullError, OrganisationQueueFullError
-from borageworks.routing.drain import DrainRate
+from borageworks.routing.drain_rate import DrainRate
 from borageworks.routing.waiting import WaitingRequest
 
 QueueKey = tuple[str, str]
 
 
 class EntryQueue:
-    """Waiting requests per (pool, organisation), first come first served.
+    """Waiting requests per (pool, organisation), in order of arrival.
 
     Parameters
     ----------
     settings
-        Bounds per organisation and in all.
+        Maximum lengths per organisation and in total.
     """
 
     def __init__(self, settings: QueueSettings) -> None:
@@ -27,7 +27,7 @@
         self._waiting: dict[int, WaitingRequest] = {}
         self._per_organisation: Counter[str] = Counter()
         self._per_pool: Counter[str] = Counter()
-        self._drain = DrainRate()
+        self._drain_rate = DrainRate()
 
     def __len__(self) -> int:
         """Return the number of waiting requests."""
@@ -42,36 +42,38 @@
         return pool in self._per_pool
 
     def check_bounds(self, now: float, organisation: str) -> None:
-        """Refuse a request that would exceed a bound.
+        """Check whether the queue has room for a request.
 
         Raises
         ------
         OrganisationQueueFullError, InstanceQueueFullError
-            If a bound is reached; `retry_after` is the time in which the queue drains
-            to half at its recent rate.
+            If a maximum is reached; `retry_after` is the time in which half of the
+            queue drains at the recent rate.
         """
-        held = self._per_organisation[organisation]
-        if held >= self._settings.per_organisation:
+        count = self._per_organisation[organisation]
+        if count >= self._settings.per_organisation:
             raise OrganisationQueueFullError(
-                f"{held} requests of organisation {organisation!r} wait",
-                retry_after=self._drain.time_for(now, organisation, held / 2),
+                f"{count} requests of organisation {organisation!r} are waiting",
+                retry_after=self._drain_rate.drain_time_s(now, organisation, count / 2),
             )
         if len(self._waiting) >= self._settings.total:
             raise InstanceQueueFullError(
-                f"{len(self._waiting)} requests wait",
-                retry_after=self._drain.time_for(now, None, len(self._waiting) / 2),
+                f"{len(self._waiting)} requests are waiting",
+                retry_after=self._drain_rate.drain_time_s(
+                    now, None, len(self._waiting) / 2
+                ),
             )
 
     def add(self, now: float, request: WaitingRequest) -> None:
-        """Append a request; raises as `check_bounds`."""
+        """Append a request; raises like `check_bounds`."""
         self.check_bounds(now, request.organisation)
         self._queue_of(request).append(request)
-        self._count(request)
+        self._register(request)
 
     def add_first(self, request: WaitingRequest) -> None:
-        """Put a retried request at the head; it was admitted before, so no bound."""
+        """Prepend a retried request, without a check since it was admitted before."""
         self._queue_of(request).appendleft(request)
-        self._count(request)
+        self._register(request)
 
     def pop(self, now: float, pool: str, organisation: str) -> WaitingRequest | None:
         """Remove and return the organisation's oldest request, None if none waits."""
@@ -80,7 +82,7 @@
             return None
         request = queue[0]
         self.remove(request.request_id)
-        self._drain.record(now, organisation)
+        self._drain_rate.record(now, organisation)
         return request
 
     def remove(self, request_id: int) -> bool:
@@ -104,7 +106,7 @@
     def _queue_of(self, request: WaitingRequest) -> deque[WaitingRequest]:
         return self._queues.setdefault((request.pool, request.organisation), deque())
 
-    def _count(self, request: WaitingRequest) -> None:
+    def _register(self, request: WaitingRequest) -> None:
         self._waiting[request.request_id] = request
         self._per_organisation[request.organisation] += 1
         self._per_pool[request.pool] += 1
--- a/borageworks/routing/rendezvous.py
+++ b/borageworks/routing/rendezvous.py
@@ -12,12 +12,12 @@
 
 
 def rendezvous(key: str, members: Iterable[str]) -> str | None:
-    """Return the member with the highest score for `key`, None without members."""
+    """Return the member with the highest score for `key`, None if there is none."""
     return max(members, key=lambda member: (_score(key, member), member), default=None)
 
 
 def ranked(key: str, members: Iterable[str]) -> list[str]:
-    """Return the members by falling score for `key`."""
+    """Return the members by descending score for `key`."""
     return sorted(
         members, key=lambda member: (_score(key, member), member), reverse=True
     )
--- a/borageworks/routing/suspects.py
+++ b/borageworks/routing/suspects.py
@@ -1,4 +1,4 @@
-"""Memory of requests that ran on endpoints that crashed."""
+"""Records of requests that ran on endpoints when they crashed."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-# A request that crashes endpoints costs at most this many in the whole fleet.
+# A request may crash at most this many endpoints in the whole fleet.
 MAX_CRASHES = 3
-# One crash puts every request that ran there under suspicion, two in common few.
-CRASHES_BEFORE_ALONE = 2
+# One crash implicates every request that ran there; few have two crashes in common.
+MIN_CRASHES_FOR_ISOLATION = 2
 EXPIRY_S = 3600.0
 MAX_FINGERPRINTS = 10_000
 
@@ -25,23 +25,23 @@
 @dataclass(slots=True)
 class _Record:
     crashes: set[tuple[str, str]] = field(default_factory=set)
-    crashed_alone: bool = False
-    updated: float = 0.0
+    crashed_in_isolation: bool = False
+    updated_at: float = 0.0
 
 
 class CrashSuspects:
     """Crashed endpoint incarnations by fingerprint of the requests that ran there.
 
-    A fingerprint that ran on two crashed incarnations runs alone next, so that the
-    requests beside it are not blamed with it. One that crashed an endpoint alone, or
-    three endpoints, is refused until its record expires.
+    A fingerprint that ran on two crashed incarnations runs in isolation next, so that
+    concurrent requests are not implicated with it. One that crashed an endpoint in
+    isolation, or three endpoints, is refused until its record expires.
     """
 
     def __init__(self) -> None:
         self._records: OrderedDict[bytes, _Record] = OrderedDict()
 
     def __len__(self) -> int:
-        """Return the number of fingerprints remembered."""
+        """Return the number of recorded fingerprints."""
         return len(self._records)
 
     def record(
@@ -50,36 +50,36 @@
         fingerprint: bytes,
         endpoint: str,
         incarnation: str,
-        alone: bool,
+        isolated: bool,
     ) -> None:
-        """Note a crash of an endpoint incarnation that ran the fingerprint."""
+        """Record a crash of an endpoint incarnation that ran the fingerprint."""
         record = self._records.setdefault(fingerprint, _Record())
         record.crashes.add((endpoint, incarnation))
-        record.crashed_alone = record.crashed_alone or alone
-        record.updated = now
+        record.crashed_in_isolation = record.crashed_in_isolation or isolated
+        record.updated_at = now
         self._records.move_to_end(fingerprint)
-        self._forget(now)
+        self._expire(now)
 
     def clear(self, fingerprint: bytes) -> None:
-        """Forget a fingerprint that ran to its end alone."""
+        """Discard the record of a fingerprint whose request completed."""
         self._records.pop(fingerprint, None)
 
     def verdict(self, now: float, fingerprint: bytes) -> Verdict:
         """Return how a request may run now."""
-        self._forget(now)
+        self._expire(now)
         record = self._records.get(fingerprint)
         if record is None:
             return Verdict.CLEAR
-        if record.crashed_alone or len(record.crashes) >= MAX_CRASHES:
+        if record.crashed_in_isolation or len(record.crashes) >= MAX_CRASHES:
             return Verdict.REFUSED
-        if len(record.crashes) >= CRASHES_BEFORE_ALONE:
+        if len(record.crashes) >= MIN_CRASHES_FOR_ISOLATION:
             return Verdict.ALONE
         return Verdict.CLEAR
 
-    def _forget(self, now: float) -> None:
+    def _expire(self, now: float) -> None:
         while self._records:
             fingerprint, record = next(iter(self._records.items()))
-            expired = now - record.updated > EXPIRY_S
+            expired = now - record.updated_at > EXPIRY_S
             if not expired and len(self._records) <= MAX_FINGERPRINTS:
                 return
             del self._records[fingerprint]
--- a/borageworks/routing/tests/test_budget.py
+++ b/borageworks/routing/tests/test_budget.py
@@ -1,9 +1,9 @@
-"""Tests of the retry budget and of crash suspects."""
+"""Tests of the retry budget, crash suspects and rendezvous hashing."""
 
 import testtools
 
 from borageworks.config.settings import RetrySettings
-from borageworks.routing.budget import MAX_ENTRIES, RetryBudget
+from borageworks.routing.budget import MAX_BUCKETS, RetryBudget
 from borageworks.routing.rendezvous import ranked, rendezvous
 from borageworks.routing.suspects import (
     EXPIRY_S,
@@ -31,44 +31,44 @@
         self.assertTrue(budget.take_retry("b", "s"))
 
     def test_memory_is_bounded(self):
-        """Guards against state that grows with every organisation ever seen."""
+        """Guards against state that grows with every organisation."""
         budget = RetryBudget(RetrySettings())
-        for number in range(MAX_ENTRIES + 10):
+        for number in range(MAX_BUCKETS + 10):
             budget.record_first_attempt(f"org-{number}", "s")
-        self.assertEqual(MAX_ENTRIES, len(budget._tokens))
+        self.assertEqual(MAX_BUCKETS, len(budget._tokens))
 
 
 class CrashSuspectsTest(testtools.TestCase):
-    def test_culprit_runs_alone_then_is_refused(self):
-        """Guards against more than three endpoints lost to one request."""
+    def test_crashing_request_runs_in_isolation_then_is_refused(self):
+        """Guards against one request that crashes more than three endpoints."""
         suspects = CrashSuspects()
-        suspects.record(0.0, b"bad", "e1", "1", alone=False)
+        suspects.record(0.0, b"bad", "e1", "1", isolated=False)
         self.assertEqual(Verdict.CLEAR, suspects.verdict(0.0, b"bad"))
-        suspects.record(1.0, b"bad", "e2", "1", alone=False)
+        suspects.record(1.0, b"bad", "e2", "1", isolated=False)
         self.assertEqual(Verdict.ALONE, suspects.verdict(1.0, b"bad"))
-        suspects.record(2.0, b"bad", "e3", "1", alone=True)
+        suspects.record(2.0, b"bad", "e3", "1", isolated=True)
         self.assertEqual(Verdict.REFUSED, suspects.verdict(2.0, b"bad"))
 
     def test_repeated_reports_of_one_crash_count_once(self):
-        """Guards against blaming a request twice for one crash."""
+        """Guards against counting one crash of a request twice."""
         suspects = CrashSuspects()
         for _ in range(5):
-            suspects.record(0.0, b"x", "e1", "1", alone=False)
+            suspects.record(0.0, b"x", "e1", "1", isolated=False)
         self.assertEqual(Verdict.CLEAR, suspects.verdict(0.0, b"x"))
 
-    def test_innocent_is_cleared_by_a_run_alone(self):
-        """Guards against refusing a request that only ran beside a culprit."""
+    def test_completed_request_is_cleared(self):
+        """Guards against refusing a request that only ran beside a crashing one."""
         suspects = CrashSuspects()
-        suspects.record(0.0, b"x", "e1", "1", alone=False)
-        suspects.record(0.0, b"x", "e2", "1", alone=False)
+        suspects.record(0.0, b"x", "e1", "1", isolated=False)
+        suspects.record(0.0, b"x", "e2", "1", isolated=False)
         suspects.clear(b"x")
         self.assertEqual(Verdict.CLEAR, suspects.verdict(0.0, b"x"))
 
     def test_memory_expires_and_is_bounded(self):
-        """Guards against records kept for ever."""
+        """Guards against records that are never removed."""
         suspects = CrashSuspects()
         for number in range(MAX_FINGERPRINTS + 5):
-            suspects.record(0.0, str(number).encode(), "e", "1", alone=True)
+            suspects.record(0.0, str(number).encode(), "e", "1", isolated=True)
         self.assertEqual(MAX_FINGERPRINTS, len(suspects))
         self.assertEqual(Verdict.CLEAR, suspects.verdict(EXPIRY_S + 1, b"99"))
         self.assertEqual(0, len(suspects))
@@ -76,7 +76,7 @@
 
 class RendezvousTest(testtools.TestCase):
     def test_only_keys_of_a_lost_member_move(self):
-        """Guards against a member's loss moving ownership everywhere."""
+        """Guards against moving keys of remaining members after a loss."""
         members = [f"i{number}" for number in range(9)]
         keys = [f"e{number}" for number in range(200)]
         before = {key: rendezvous(key, members) for key in keys}
--- a/borageworks/routing/tests/test_demand.py
+++ b/borageworks/routing/tests/test_demand.py
@@ -5,26 +5,26 @@
 from hypothesis import strategies as st
 
 from borageworks.config.settings import QueueSettings
-from borageworks.routing.demand import WITHDRAW_S, DemandPlan
+from borageworks.routing.demand import WITHDRAW_DELAY_S, DemandPlan
 from borageworks.wire.messages import Demand
 
 OWNERS = ["o1", "o2", "o3", "o4"]
 
 
-def plan():
-    made = DemandPlan(QueueSettings(escalation_s=0.01))
-    made.set_owners({"p": OWNERS})
-    return made
+def build_plan():
+    plan = DemandPlan(QueueSettings(escalation_s=0.01))
+    plan.set_owners({"p": OWNERS})
+    return plan
 
 
 class DemandPlanTest(testtools.TestCase):
     def test_free_capacity_costs_one_message(self):
-        """Guards against telling every owner of a request that is granted at once."""
-        demand = plan()
+        """Guards against notifying all owners of a request that is granted at once."""
+        demand = build_plan()
         demand.set_waiting(0.0, "p", "a", 1)
-        told = demand.flush(0.0)
+        sent = demand.flush(0.0)
         self.assertEqual(
-            [("o1", Demand("p", "a", 1))], [(t.owner, t.demand) for t in told]
+            [("o1", Demand("p", "a", 1))], [(t.owner, t.demand) for t in sent]
         )
         demand.granted("o1", "p", "a")
         demand.set_waiting(0.001, "p", "a", 0)
@@ -32,29 +32,29 @@
         self.assertEqual([], demand.tick(1.0))
 
     def test_waiting_demand_reaches_all_owners(self):
-        """Guards against capacity idling at owners that were never told."""
-        demand = plan()
+        """Guards against idle capacity at owners that were never notified."""
+        demand = build_plan()
         demand.set_waiting(0.0, "p", "a", 1)
-        told = {t.owner for t in demand.flush(0.0)}
+        sent = {t.owner for t in demand.flush(0.0)}
         for step in range(1, 5):
-            told |= {t.owner for t in demand.tick(step * 0.011)}
-        self.assertEqual(set(OWNERS), told)
+            sent |= {t.owner for t in demand.tick(step * 0.011)}
+        self.assertEqual(set(OWNERS), sent)
 
-    def test_gone_demand_is_withdrawn_after_a_delay(self):
-        """Guards against owners granting slots for requests that left."""
-        demand = plan()
+    def test_ended_demand_is_withdrawn_after_a_delay(self):
+        """Guards against grants for requests that no longer wait."""
+        demand = build_plan()
         demand.set_waiting(0.0, "p", "a", 2)
         demand.flush(0.0)
         demand.tick(0.02)
         demand.set_waiting(0.03, "p", "a", 0)
         self.assertEqual([], demand.tick(0.04))
-        withdrawn = demand.tick(0.04 + WITHDRAW_S)
+        withdrawn = demand.tick(0.04 + WITHDRAW_DELAY_S)
         self.assertEqual({"o1", "o2"}, {t.owner for t in withdrawn})
         self.assertEqual({0}, {t.demand.waiting for t in withdrawn})
 
-    def test_lost_link_is_told_again(self):
-        """Guards against demand forgotten by a restarted owner."""
-        demand = plan()
+    def test_demand_is_sent_again_after_a_lost_link(self):
+        """Guards against demand that a restarted owner does not know."""
+        demand = build_plan()
         demand.set_waiting(0.0, "p", "a", 5)
         demand.flush(0.0)
         demand.forget_owner("o1")
@@ -71,9 +71,9 @@
             max_size=60,
         )
     )
-    def test_owners_agree_with_a_naive_copy_after_a_refresh(self, steps):
-        """Guards against an owner believing in demand that is gone, or the reverse."""
-        demand = plan()
+    def test_owners_know_the_demand_after_a_refresh(self, steps):
+        """Guards against owners whose count stays wrong."""
+        demand = build_plan()
         known: dict[str, int] = {}
         now = 0.0
         waiting = 0
--- a/borageworks/routing/tests/test_queue.py
+++ b/borageworks/routing/tests/test_queue.py
@@ -1,4 +1,4 @@
-"""Tests of the entry queue and its truthful Retry-After."""
+"""Tests of the entry queue and its Retry-After."""
 
 import testtools
 
@@ -22,11 +22,13 @@
         assert first is not None
         queue.add_first(first)
         popped = [queue.pop(0.0, "p", "a") for _ in range(3)]
-        self.assertEqual([1, 2, 3], [each.request_id for each in popped if each])
+        self.assertEqual(
+            [1, 2, 3], [request.request_id for request in popped if request]
+        )
         self.assertIsNone(queue.pop(0.0, "p", "a"))
 
-    def test_bounds_hold_per_organisation_and_in_all(self):
-        """Guards against a flood of one organisation filling the instance."""
+    def test_bounds_hold_per_organisation_and_in_total(self):
+        """Guards against a flood of one organisation that fills the queue."""
         queue = EntryQueue(QueueSettings(per_organisation=2, total=3))
         queue.add(0.0, waiting(1))
         queue.add(0.0, waiting(2))
@@ -38,7 +40,7 @@
         self.assertEqual(3, len(queue))
 
     def test_removed_requests_leave_no_state(self):
-        """Guards against memory growing with organisations that left."""
+        """Guards against state that grows with every organisation."""
         queue = EntryQueue(QueueSettings(per_organisation=1))
         for number in range(100):
             queue.add(0.0, waiting(number, f"org-{number}"))
@@ -47,7 +49,7 @@
         self.assertEqual(0, len(queue))
 
     def test_retry_after_follows_the_drain_rate(self):
-        """Guards against a Retry-After that has nothing to do with the queue."""
+        """Guards against a Retry-After that ignores the drain rate."""
         queue = EntryQueue(QueueSettings(per_organisation=40))
         now = 0.0
         number = 0
--- a/borageworks/routing/waiting.py
+++ b/borageworks/routing/waiting.py
@@ -12,11 +12,11 @@
     Parameters
     ----------
     request_id
-        Unique in the instance.
+        Number that is unique within the instance.
     pool, organisation
-        What it waits for and for whom.
+        Pool that it waits for, and organisation that sent it.
     queued_at, deadline
-        Loop time in seconds; after `deadline` the request is refused.
+        Event loop times in seconds; after `deadline` the request is refused.
     """
 
     request_id: int
