--- a/borageworks/endpoints/bounded.py
+++ b/borageworks/endpoints/bounded.py
@@ -1,4 +1,4 @@
-"""Connections that end when an endpoint sends bytes that are no answer."""
+"""Connector that limits the bytes an endpoint may send outside response bodies."""
 
 from __future__ import annotations
 
@@ -8,48 +8,48 @@
 import aiohttp
 from aiohttp.client_proto import ResponseHandler
 
-# Bytes that may arrive without becoming part of a body: the head of an answer, interim
-# answers, and the framing of chunks. Several times the longest header field.
+# Limit for consecutive bytes outside response bodies: response heads, interim (1xx)
+# responses and chunk framing. Several times the maximum length of a header field.
 MAX_OVERHEAD_BYTES = 65_536
 
 
-class AnswerOverheadError(aiohttp.ClientError):
-    """An endpoint sent too many bytes that are no part of a body."""
+class ResponseOverheadError(aiohttp.ClientError):
+    """An endpoint sent too many bytes outside a response body."""
 
 
 class BoundedResponseHandler(ResponseHandler):
-    """Receives answers, and ends the connection when bytes bring none closer.
+    """Receives responses, and aborts the connection on excessive overhead.
 
-    The HTTP library bounds the length of a line and the number of headers. It does not
-    bound blank lines and interim answers before an answer, nor the framing of chunks.
+    The HTTP library limits the length of a line and the number of headers. It limits
+    neither blank lines and interim responses before a response nor chunk framing.
     """
 
     def __init__(self, loop: Any) -> None:
         super().__init__(loop)
-        self._overhead = 0
-        self._reached: tuple[object, int] = (None, 0)
+        self._overhead_bytes = 0
+        self._last_progress: tuple[object, int] = (None, 0)
 
     def set_response_params(self, **params: Any) -> None:
-        """Prepare for the answer to the next request."""
-        self._overhead = 0
+        """Prepare for the response to the next request."""
+        self._overhead_bytes = 0
         super().set_response_params(**params)
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes of the endpoint."""
+        """Process bytes received from the endpoint."""
         super().data_received(data)
         payload = self._payload
-        reached = payload, 0 if payload is None else payload.total_bytes
-        if reached != self._reached:
-            self._reached = reached
-            self._overhead = 0
+        progress = payload, 0 if payload is None else payload.total_bytes
+        if progress != self._last_progress:
+            self._last_progress = progress
+            self._overhead_bytes = 0
             return
-        self._overhead += len(data)
-        if self._overhead > MAX_OVERHEAD_BYTES and self.transport is not None:
-            self._give_up()
+        self._overhead_bytes += len(data)
+        if self._overhead_bytes > MAX_OVERHEAD_BYTES and self.transport is not None:
+            self._fail_connection()
 
-    def _give_up(self) -> None:
-        error = AnswerOverheadError(
-            f"over {MAX_OVERHEAD_BYTES} bytes that are no part of an answer"
+    def _fail_connection(self) -> None:
+        error = ResponseOverheadError(
+            f"over {MAX_OVERHEAD_BYTES} bytes received outside a response body"
         )
         self.set_exception(error)
         if self._payload is not None and not self._payload.is_eof():
@@ -59,7 +59,7 @@
 
 
 class BoundedConnector(aiohttp.TCPConnector):
-    """Connector whose connections end when bytes bring no answer closer."""
+    """Connector whose connections are aborted on excessive overhead."""
 
     def __init__(self, **options: Any) -> None:
         super().__init__(**options)
--- a/borageworks/endpoints/call.py
+++ b/borageworks/endpoints/call.py
@@ -14,21 +14,21 @@
     Parameters
     ----------
     request_id
-        Sent as ``X-Request-Id`` and compared with the endpoint's echo.
+        Sent as ``X-Request-Id`` and compared with the value that the endpoint returns.
     organisation
-        Id of the organisation.
+        ID of the organisation.
     service
-        The service that the caller asked for.
+        Requested service.
     method, path
-        HTTP method, and path with query at the endpoint.
+        HTTP method; path and query string at the endpoint.
     headers
         End-to-end headers of the caller without credentials.
     body
-        Body for the endpoint.
+        Request body for the endpoint.
     stream
-        Whether the caller asked for server-sent events.
+        Whether the caller requested server-sent events.
     wants_usage
-        Whether the caller asked for the usage event of a stream.
+        Whether the caller requested the usage event of a stream.
     idempotency_key
         Value of ``Idempotency-Key`` or None.
     """
--- a/borageworks/endpoints/client.py
+++ b/borageworks/endpoints/client.py
@@ -17,10 +17,10 @@
     async def exchange(
         self, endpoint: Endpoint, call: Call, sink: Sink, progress: Progress
     ) -> Exchange:
-        """Send the call and pass the whole answer to `sink`.
+        """Send the call and forward the complete response to `sink`.
 
         Raises
         ------
         EndpointFailedError
-            If the attempt failed; `sink.started` tells whether bytes were passed on.
+            If the attempt failed; `sink.started` states whether bytes were sent.
         """
--- a/borageworks/endpoints/engine.py
+++ b/borageworks/endpoints/engine.py
@@ -1,4 +1,4 @@
-"""Client for model engines that speak chat completions."""
+"""Client for model engines with a chat completions API."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 class EngineClient:
-    """Sends chat completions; service units are weighted tokens.
+    """Sends chat completions; service units are weighted token counts.
 
     Parameters
     ----------
@@ -46,20 +46,24 @@
     async def exchange(
         self, endpoint: Endpoint, call: Call, sink: Sink, progress: Progress
     ) -> Exchange:
-        """Send the call and pass the whole answer to `sink`."""
-        extra: tuple[tuple[str, str], ...] = ()
+        """Send the call and forward the complete response to `sink`."""
+        resume_headers: tuple[tuple[str, str], ...] = ()
         if progress.content_bytes:
-            extra = ((RESUME_HEADER, str(progress.content_bytes)),)
-        async with self._transport.open(endpoint, call, progress, extra) as response:
+            resume_headers = ((RESUME_HEADER, str(progress.content_bytes)),)
+        async with self._transport.open(
+            endpoint, call, progress, resume_headers
+        ) as response:
             if response.status in REFUSED_STATUSES:
                 raise EndpointRefusedError(
-                    f"endpoint {endpoint.id!r} answered {response.status}"
+                    f"endpoint {endpoint.id!r} refused with status {response.status}"
                 )
             if call.stream and response.status == 200:
-                return await self._pass_stream(endpoint, call, response, sink, progress)
-            return await self._pass_whole(endpoint, response, sink)
+                return await self._forward_stream(
+                    endpoint, call, response, sink, progress
+                )
+            return await self._forward_complete(endpoint, response, sink)
 
-    async def _pass_whole(
+    async def _forward_complete(
         self, endpoint: Endpoint, response: aiohttp.ClientResponse, sink: Sink
     ) -> Exchange:
         body = await read_bounded(response)
@@ -71,7 +75,7 @@
         await sink.finish()
         return Exchange(units)
 
-    async def _pass_stream(
+    async def _forward_stream(
         self,
         endpoint: Endpoint,
         call: Call,
@@ -81,25 +85,25 @@
     ) -> Exchange:
         if response.content_type != "text/event-stream":
             raise EndpointReplyMalformedError(
-                f"endpoint {endpoint.id!r} answered {response.content_type!r} "
-                "to a stream request"
+                f"endpoint {endpoint.id!r} returned {response.content_type!r} "
+                "for a streaming request"
             )
         offset = progress.content_bytes
         if offset and response.headers.get(RESUME_HEADER) != str(offset):
             raise EndpointReplyIncompleteError(
-                f"endpoint {endpoint.id!r} cannot resume the stream"
+                f"endpoint {endpoint.id!r} did not resume the stream"
             )
-        return await self._pass_events(call, response, sink, progress)
+        return await self._forward_events(call, response, sink, progress)
 
-    async def _pass_events(
+    async def _forward_events(
         self,
         call: Call,
         response: aiohttp.ClientResponse,
         sink: Sink,
         progress: Progress,
     ) -> Exchange:
-        began = time.monotonic()
-        first = last = 0.0
+        started_at = time.monotonic()
+        first_content_at = last_content_at = 0.0
         tokens = 0
         usage: dict[str, Any] | None = None
         decoder = StreamDecoder()
@@ -110,45 +114,51 @@
                 continue
             if not sink.started:
                 await sink.start(200, end_to_end(response.headers.items()))
-            passed = [event for event in events if _is_passed(event, call)]
-            content = sum(len(event.content) for event in passed)
-            tokens += sum(1 for event in passed if event.content)
+            forwarded = [event for event in events if _is_forwarded(event, call)]
+            content_length = sum(len(event.content) for event in forwarded)
+            tokens += sum(1 for event in forwarded if event.content)
             usage = next((e.usage for e in events if e.usage), usage)
-            if content:
-                last = time.monotonic()
-                first = first or last
-            # Counted before the write: bytes that may have reached the caller must not
-            # be generated for it again.
-            progress.content_bytes += content
+            if content_length:
+                last_content_at = time.monotonic()
+                first_content_at = first_content_at or last_content_at
+            # Updated before the write: a resumed stream must not repeat bytes that may
+            # have reached the caller.
+            progress.content_bytes += content_length
             progress.units = tokens * self._settings.generated_token_units
-            await sink.write(b"".join(event.raw for event in passed))
+            await sink.write(b"".join(event.raw for event in forwarded))
             if any(event.done for event in events):
                 await sink.finish()
                 return Exchange(
                     units=self._units(usage) or progress.units,
-                    first_token=first - began if first else 0.0,
-                    token_interval=(last - first) / (tokens - 1) if tokens > 1 else 0.0,
+                    first_token=first_content_at - started_at
+                    if first_content_at
+                    else 0.0,
+                    token_interval=(last_content_at - first_content_at) / (tokens - 1)
+                    if tokens > 1
+                    else 0.0,
                 )
-        raise EndpointReplyIncompleteError("the stream ended before its end marker")
+        raise EndpointReplyIncompleteError("stream ended before its end marker")
 
     def _units(self, usage: object) -> float:
         if not isinstance(usage, dict):
             return 0.0
         details = usage.get("prompt_tokens_details")
         cached = details.get("cached_tokens") if isinstance(details, dict) else 0
-        prompt = max(0, _count(usage.get("prompt_tokens")) - _count(cached))
+        uncached_tokens = max(
+            0, _token_count(usage.get("prompt_tokens")) - _token_count(cached)
+        )
         return (
-            prompt * self._settings.prompt_token_units
-            + _count(usage.get("completion_tokens"))
+            uncached_tokens * self._settings.prompt_token_units
+            + _token_count(usage.get("completion_tokens"))
             * self._settings.generated_token_units
         )
 
 
-def _count(value: object) -> int:
+def _token_count(value: object) -> int:
     return value if isinstance(value, int) and value > 0 else 0
 
 
-def _is_passed(event: StreamEvent, call: Call) -> bool:
+def _is_forwarded(event: StreamEvent, call: Call) -> bool:
     return call.wants_usage or not event.only_usage
 
 
@@ -161,6 +171,6 @@
         ) from error
     if not isinstance(completion, dict) or "choices" not in completion:
         raise EndpointReplyMalformedError(
-            f"endpoint {endpoint.id!r}: completion without choices"
+            f"endpoint {endpoint.id!r}: completion has no 'choices'"
         )
     return completion
--- a/borageworks/endpoints/exchange.py
+++ b/borageworks/endpoints/exchange.py
@@ -1,4 +1,4 @@
-"""Result of a complete exchange with an endpoint."""
+"""Result of a completed exchange with an endpoint."""
 
 from __future__ import annotations
 
@@ -7,14 +7,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Exchange:
-    """A complete answer was passed on.
+    """Measurements of an exchange whose complete response was forwarded.
 
     Parameters
     ----------
     units
-        Service units, see `FairSettings` for the weights.
+        Service units; `FairSettings` has their weights.
     first_token, token_interval
-        Seconds; 0.0 when the answer was not streamed.
+        Seconds until the first token and mean seconds between tokens; 0.0 if the
+        response was not streamed.
     """
 
     units: float
--- a/borageworks/endpoints/failures.py
+++ b/borageworks/endpoints/failures.py
@@ -1,4 +1,4 @@
-"""Turns failures of the HTTP library into typed errors."""
+"""Converts errors of the HTTP library into errors of this project."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 import aiohttp
 
-from borageworks.endpoints.bounded import AnswerOverheadError
+from borageworks.endpoints.bounded import ResponseOverheadError
 from borageworks.exceptions import (
     EndpointDisconnectedError,
     EndpointReplyIncompleteError,
@@ -19,14 +19,14 @@
 
 @contextmanager
 def typed_failures(endpoint: str) -> Iterator[None]:
-    """Turn failures of a call to an endpoint inside the block into typed errors.
+    """Convert HTTP library errors raised in the block.
 
     Raises
     ------
     EndpointUnreachableError
-        If no connection was made, so that the request was certainly not sent.
+        If no connection was established, so that the request was not sent.
     EndpointFailedError
-        Any other failure; the request may have run.
+        On any other failure; the endpoint may have run the request.
     """
     try:
         yield
@@ -34,9 +34,9 @@
         raise EndpointUnreachableError(f"endpoint {endpoint!r}: {error}") from error
     except TimeoutError as error:
         raise EndpointTimeoutError(
-            f"endpoint {endpoint!r}: no complete answer in time"
+            f"endpoint {endpoint!r}: no complete response within the timeout"
         ) from error
-    except AnswerOverheadError as error:
+    except ResponseOverheadError as error:
         raise EndpointReplyMalformedError(f"endpoint {endpoint!r}: {error}") from error
     except aiohttp.ClientPayloadError as error:
         raise EndpointReplyIncompleteError(f"endpoint {endpoint!r}: {error}") from error
--- a/borageworks/endpoints/headers.py
+++ b/borageworks/endpoints/headers.py
@@ -1,11 +1,11 @@
-"""Selection of headers that a router passes on."""
+"""Selection of the headers that a router forwards."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable
 
-# RFC 9110 section 7.6.1, and the headers that the router sets itself.
-DROPPED = frozenset(
+# Hop-by-hop headers (RFC 9110, section 7.6.1) and headers that the router sets itself.
+NOT_FORWARDED = frozenset(
     (
         "connection",
         "keep-alive",
@@ -28,16 +28,16 @@
 
 
 def end_to_end(headers: Iterable[tuple[str, str]]) -> tuple[tuple[str, str], ...]:
-    """Return the headers that are passed on."""
-    items = tuple(headers)
-    named = {
+    """Return the headers to forward, without hop-by-hop headers."""
+    fields = tuple(headers)
+    connection_options = {
         token.strip().lower()
-        for name, value in items
+        for name, value in fields
         if name.lower() == "connection"
         for token in value.split(",")
     }
     return tuple(
         (name, value)
-        for name, value in items
-        if name.lower() not in DROPPED and name.lower() not in named
+        for name, value in fields
+        if name.lower() not in NOT_FORWARDED and name.lower() not in connection_options
     )
--- a/borageworks/endpoints/limits.py
+++ b/borageworks/endpoints/limits.py
@@ -1,4 +1,4 @@
-"""Reads answers of bounded size."""
+"""Reads response bodies up to a size limit."""
 
 from __future__ import annotations
 
@@ -6,32 +6,32 @@
 
 from borageworks.exceptions import EndpointReplyMalformedError
 
-MAX_ANSWER_BYTES = 64 * 1_048_576
+MAX_RESPONSE_BYTES = 64 * 1_048_576
 
 
 async def read_bounded(
-    response: aiohttp.ClientResponse, limit: int = MAX_ANSWER_BYTES
+    response: aiohttp.ClientResponse, limit: int = MAX_RESPONSE_BYTES
 ) -> bytes:
-    """Return the whole body.
+    """Return the complete body.
 
     Parameters
     ----------
     response
-        Answer whose head has arrived.
+        Response whose head has been received.
     limit
-        Largest body in bytes.
+        Maximum size of the body in bytes.
 
     Raises
     ------
     EndpointReplyMalformedError
-        If the body is over the limit.
+        If the body exceeds the limit.
     """
-    parts: list[bytes] = []
-    size = 0
-    async for part in response.content.iter_any():
-        size += len(part)
-        if size > limit:
+    chunks: list[bytes] = []
+    received_bytes = 0
+    async for chunk in response.content.iter_any():
+        received_bytes += len(chunk)
+        if received_bytes > limit:
             response.close()
-            raise EndpointReplyMalformedError(f"answer over {limit} bytes")
-        parts.append(part)
-    return b"".join(parts)
+            raise EndpointReplyMalformedError(f"response body exceeds {limit} bytes")
+        chunks.append(chunk)
+    return b"".join(chunks)
--- a/borageworks/endpoints/plain.py
+++ b/borageworks/endpoints/plain.py
@@ -16,14 +16,14 @@
 from borageworks.endpoints.transport import Transport
 from borageworks.exceptions import EndpointRefusedError
 
-# Larger answers and answers of unknown length are streamed, so they cannot be retried
-# once their first byte was passed on.
-BUFFERED_BYTES = 1_048_576
+# Larger responses and responses of unknown length are streamed. Their requests cannot
+# be retried once the first byte has been forwarded.
+MAX_BUFFERED_BYTES = 1_048_576
 REFUSED_STATUSES = frozenset((429, 503))
 
 
 class PlainClient:
-    """Passes requests through unchanged; service units are seconds in service."""
+    """Forwards requests unchanged; service units are seconds of processing time."""
 
     def __init__(self, transport: Transport) -> None:
         self._transport = transport
@@ -31,14 +31,14 @@
     async def exchange(
         self, endpoint: Endpoint, call: Call, sink: Sink, progress: Progress
     ) -> Exchange:
-        """Send the call and pass the whole answer to `sink`."""
-        began = time.monotonic()
+        """Send the call and forward the complete response to `sink`."""
+        started_at = time.monotonic()
         async with self._transport.open(endpoint, call, progress) as response:
-            # For a non-idempotent call such a status is the endpoint's own answer:
-            # nothing proves that it did not run.
+            # Such a status does not prove that the endpoint did not run the request.
+            # For a non-idempotent call it is therefore forwarded as the response.
             if call.service.idempotent and response.status in REFUSED_STATUSES:
                 raise EndpointRefusedError(
-                    f"endpoint {endpoint.id!r} answered {response.status}"
+                    f"endpoint {endpoint.id!r} refused with status {response.status}"
                 )
             headers = end_to_end(response.headers.items())
             if _is_buffered(response):
@@ -47,14 +47,14 @@
                 await sink.write(body)
             else:
                 await sink.start(response.status, headers)
-                async for part in response.content.iter_any():
+                async for chunk in response.content.iter_any():
                     progress.active_at = time.monotonic()
-                    progress.units = progress.active_at - began
-                    await sink.write(part)
+                    progress.units = progress.active_at - started_at
+                    await sink.write(chunk)
         await sink.finish()
-        return Exchange(units=time.monotonic() - began)
+        return Exchange(units=time.monotonic() - started_at)
 
 
 def _is_buffered(response: aiohttp.ClientResponse) -> bool:
     length = response.content_length
-    return length is not None and length <= BUFFERED_BYTES
+    return length is not None and length <= MAX_BUFFERED_BYTES
--- a/borageworks/endpoints/progress.py
+++ b/borageworks/endpoints/progress.py
@@ -1,4 +1,4 @@
-"""What a call received so far, over all its attempts."""
+"""Progress of a call across its attempts."""
 
 from __future__ import annotations
 
@@ -7,19 +7,20 @@
 
 @dataclass(slots=True)
 class Progress:
-    """Progress of one call.
+    """Progress of one call across its attempts.
 
     Parameters
     ----------
     units
         Service units received in the current attempt.
     content_bytes
-        Bytes of generated content that the caller has; a resumed stream starts there.
+        Bytes of generated content sent to the caller; a resumed stream starts at this
+        offset.
     sent
         Whether the request may have reached an endpoint in any attempt.
     active_at
-        Monotonic time in seconds at which the endpoint last sent a byte, or at which
-        the attempt began.
+        Monotonic time in seconds of the last bytes from the endpoint, or of the start
+        of the attempt.
     """
 
     units: float = 0.0
--- a/borageworks/endpoints/single_attempt.py
+++ b/borageworks/endpoints/single_attempt.py
@@ -1,4 +1,4 @@
-"""Keeps the HTTP library from repeating requests."""
+"""Disables automatic retries of the HTTP library."""
 
 from __future__ import annotations
 
@@ -6,10 +6,11 @@
 
 
 class SingleAttempt:
-    """Client middleware that keeps the HTTP library from repeating a request.
+    """Client middleware that disables automatic retries of the HTTP library.
 
-    The library sends GET, PUT, DELETE and the like once more after a lost connection;
-    that would run a non-idempotent service twice and bypass the retry budgets.
+    The library retries GET, PUT, DELETE and similar methods once after a lost
+    connection. This could run a non-idempotent service twice and bypasses the retry
+    budgets.
     """
 
     def __init__(self) -> None:
@@ -18,8 +19,8 @@
     async def __call__(
         self, request: aiohttp.ClientRequest, handler: aiohttp.ClientHandlerType
     ) -> aiohttp.ClientResponse:
-        """Pass the request on, but only once."""
+        """Send the request on the first call, and raise on any later one."""
         if self._sent:
-            raise aiohttp.ServerDisconnectedError("the connection was lost")
+            raise aiohttp.ServerDisconnectedError("connection lost")
         self._sent = True
         return await handler(request)
--- a/borageworks/endpoints/sink.py
+++ b/borageworks/endpoints/sink.py
@@ -1,4 +1,4 @@
-"""Where an endpoint client writes the answer."""
+"""Interface through which endpoint clients write responses."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 
 
 class Sink(Protocol):
-    """Receives one answer, in order."""
+    """Receives one response, in order."""
 
     @property
     def started(self) -> bool:
         """Whether the caller may have received a byte."""
 
     async def start(self, status: int, headers: Headers) -> None:
-        """Send status and headers."""
+        """Send the status and headers."""
 
     async def write(self, data: bytes) -> None:
-        """Send a part of the body."""
+        """Send a chunk of the body."""
 
     async def finish(self) -> None:
-        """Send the end marker."""
+        """Mark the response as complete."""
--- a/borageworks/endpoints/sockets.py
+++ b/borageworks/endpoints/sockets.py
@@ -1,34 +1,34 @@
-"""Sockets that notice a peer that fell silent."""
+"""TCP sockets with detection of unresponsive peers."""
 
 from __future__ import annotations
 
 import socket
 from typing import Any
 
-# A peer that acknowledges nothing for this long is taken for gone. Three retransmission
-# times of a local network fit in.
-SILENCE_MS = 1500
+# A connection is closed when sent data stays unacknowledged for this long. This allows
+# three retransmissions on a local network.
+USER_TIMEOUT_MS = 1500
 KEEPALIVE_IDLE_S = 1
 KEEPALIVE_INTERVAL_S = 1
-KEEPALIVE_PROBES = 2
+KEEPALIVE_PROBE_COUNT = 2
 
 
 def open_socket(address: tuple[Any, ...]) -> socket.socket:
-    """Return an unconnected socket for one entry of `socket.getaddrinfo`."""
-    family, kind, protocol, *_ = address
-    opened = socket.socket(family=family, type=kind, proto=protocol)
-    opened.setblocking(False)
-    watch_for_silence(opened)
-    return opened
+    """Return a new TCP socket for one entry of `socket.getaddrinfo`."""
+    family, socket_type, protocol, *_ = address
+    unconnected = socket.socket(family=family, type=socket_type, proto=protocol)
+    unconnected.setblocking(False)
+    enable_dead_peer_detection(unconnected)
+    return unconnected
 
 
-def watch_for_silence(connection: socket.socket) -> None:
-    """Make the system end a TCP connection whose peer no longer answers."""
-    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-    connection.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
-    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
-    connection.setsockopt(
+def enable_dead_peer_detection(tcp_socket: socket.socket) -> None:
+    """Make the operating system close connections to unresponsive peers."""
+    tcp_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
+    tcp_socket.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+    tcp_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, KEEPALIVE_IDLE_S)
+    tcp_socket.setsockopt(
         socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, KEEPALIVE_INTERVAL_S
     )
-    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBES)
-    connection.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, SILENCE_MS)
+    tcp_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_KEEPCNT, KEEPALIVE_PROBE_COUNT)
+    tcp_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, USER_TIMEOUT_MS)
--- a/borageworks/endpoints/stream.py
+++ b/borageworks/endpoints/stream.py
@@ -1,4 +1,4 @@
-"""Reads server-sent events of a chat completion stream."""
+"""Decoder for the server-sent events of chat completion streams."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 
 @dataclass(frozen=True, slots=True)
 class StreamEvent:
-    """One event.
+    """One server-sent event.
 
     Parameters
     ----------
     raw
-        The event with its terminating empty line.
+        The event as received, with its terminating empty line.
     content
         Generated text in UTF-8.
     usage
@@ -28,7 +28,7 @@
     done
         Whether this is the end marker.
     only_usage
-        Whether the event carries usage and no choice.
+        Whether the event has no choices, as the usage event of a stream.
     """
 
     raw: bytes
@@ -39,7 +39,7 @@
 
 
 class StreamDecoder:
-    """Splits received bytes into events; incomplete ones wait for more bytes."""
+    """Splits received bytes into events and buffers an incomplete last event."""
 
     def __init__(self) -> None:
         self._buffer = b""
@@ -50,11 +50,13 @@
         Raises
         ------
         EndpointReplyMalformedError
-            If an event is over the size limit or not JSON.
+            If an event exceeds the size limit or is not valid.
         """
         *complete, self._buffer = (self._buffer + data).split(b"\n\n")
         if len(self._buffer) > MAX_EVENT_BYTES:
-            raise EndpointReplyMalformedError(f"event over {MAX_EVENT_BYTES} bytes")
+            raise EndpointReplyMalformedError(
+                f"stream event exceeds {MAX_EVENT_BYTES} bytes"
+            )
         return [_decode(block) for block in complete if block.strip()]
 
 
@@ -70,9 +72,11 @@
     try:
         body = orjson.loads(payload)
     except orjson.JSONDecodeError as error:
-        raise EndpointReplyMalformedError(f"stream event: {error}") from error
+        raise EndpointReplyMalformedError(
+            f"stream event is not JSON: {error}"
+        ) from error
     if not isinstance(body, dict) or not isinstance(body.get("choices"), list):
-        raise EndpointReplyMalformedError("stream event without choices")
+        raise EndpointReplyMalformedError("stream event has no 'choices' list")
     choices = body["choices"]
     usage = body.get("usage")
     return StreamEvent(
@@ -85,6 +89,8 @@
 
 def _content(choice: Any) -> bytes:
     if not isinstance(choice, dict) or not isinstance(choice.get("delta"), dict):
-        raise EndpointReplyMalformedError("stream choice without delta")
+        raise EndpointReplyMalformedError(
+            "choice in stream event has no 'delta' object"
+        )
     content = choice["delta"].get("content")
     return content.encode() if isinstance(content, str) else b""
--- a/borageworks/endpoints/tests/test_clients.py
+++ b/borageworks/endpoints/tests/test_clients.py
@@ -1,4 +1,4 @@
-"""Tests of the endpoint clients against endpoints that misbehave."""
+"""Tests for the endpoint clients, with faulty endpoints."""
 
 import asyncio
 import json
@@ -25,14 +25,14 @@
 )
 
 
-def token(text):
+def token_event(text):
     return (
         b"data: %b\n\n"
         % json.dumps({"choices": [{"index": 0, "delta": {"content": text}}]}).encode()
     )
 
 
-USAGE = (
+USAGE_EVENT = (
     b"data: %b\n\n"
     % json.dumps(
         {
@@ -45,24 +45,26 @@
         }
     ).encode()
 )
-DONE = b"data: [DONE]\n\n"
+DONE_EVENT = b"data: [DONE]\n\n"
 
 
-def chunked(*parts, end=True):
-    body = b"".join(b"%x\r\n%b\r\n" % (len(part), part) for part in parts)
+def chunked(*chunks, end=True):
+    body = b"".join(b"%x\r\n%b\r\n" % (len(chunk), chunk) for chunk in chunks)
     return body + (b"0\r\n\r\n" if end else b"")
 
 
-def head(status=200, kind="text/event-stream", *extra):
-    lines = [f"HTTP/1.1 {status} X", f"Content-Type: {kind}", *extra]
+def response_head(status=200, content_type="text/event-stream", *extra):
+    lines = [f"HTTP/1.1 {status} X", f"Content-Type: {content_type}", *extra]
     return ("\r\n".join(lines) + "\r\n").encode()
 
 
-STREAM = head(200, "text/event-stream", "Transfer-Encoding: chunked") + b"\r\n"
+STREAM_HEAD = (
+    response_head(200, "text/event-stream", "Transfer-Encoding: chunked") + b"\r\n"
+)
 
 
-class Sink:
-    """Collects an answer."""
+class RecordingSink:
+    """Records the response that a client writes."""
 
     def __init__(self):
         self.started = False
@@ -81,11 +83,11 @@
         self.finished = True
 
 
-class Scripted:
-    """Endpoint that answers each connection with the next scripted bytes."""
+class ScriptedEndpoint:
+    """Sends the next response on each connection, and repeats the last one."""
 
-    def __init__(self, *answers):
-        self.answers = list(answers)
+    def __init__(self, *responses):
+        self.responses = list(responses)
         self.requests = []
         self.connections = 0
 
@@ -93,15 +95,17 @@
         self.connections += 1
         request = await reader.readuntil(b"\r\n\r\n")
         self.requests.append(request)
-        answer = self.answers.pop(0) if len(self.answers) > 1 else self.answers[0]
-        if answer is None:
+        response = (
+            self.responses.pop(0) if len(self.responses) > 1 else self.responses[0]
+        )
+        if response is None:
             await asyncio.sleep(3600)
-        writer.write(answer)
+        writer.write(response)
         await writer.drain()
         writer.close()
 
 
-def call_for(stream=True, idempotent=True, run_timeout_s=5.0, wants_usage=False):
+def make_call(stream=True, idempotent=True, run_timeout_s=5.0, wants_usage=False):
     return Call(
         request_id="r1",
         organisation="a",
@@ -118,16 +122,16 @@
 
 
 class ClientTest(testtools.TestCase):
-    def exchange(self, kind, call, *answers, progress=None):
-        """Return (exchange or error, sink, progress, scripted endpoint)."""
-        scripted = Scripted(*answers)
-        sink: Any = Sink()
+    def exchange(self, client_kind, call, *responses, progress=None):
+        """Return (exchange or error, sink, progress, endpoint)."""
+        scripted_endpoint = ScriptedEndpoint(*responses)
+        sink: Any = RecordingSink()
         progress = progress or Progress()
 
         async def scenario():
-            server = await asyncio.start_server(scripted.serve, "127.0.0.1", 0)
+            server = await asyncio.start_server(scripted_endpoint.serve, "127.0.0.1", 0)
             port = server.sockets[0].getsockname()[1]
-            if not answers:
+            if not responses:
                 server.close()
                 await server.wait_closed()
             endpoint = Endpoint.model_validate(
@@ -143,7 +147,7 @@
             await transport.start()
             client = (
                 EngineClient(transport, FairSettings())
-                if kind == "engine"
+                if client_kind == "engine"
                 else PlainClient(transport)
             )
             try:
@@ -154,133 +158,147 @@
                 await transport.stop()
                 server.close()
 
-        return asyncio.run(scenario()), sink, progress, scripted
+        return asyncio.run(scenario()), sink, progress, scripted_endpoint
 
-    def test_whole_stream_is_passed_and_charged(self):
-        """Guards against a changed answer and a wrong charge."""
-        answer = STREAM + chunked(token("ab"), token("c"), USAGE, DONE)
-        got, sink, progress, _ = self.exchange("engine", call_for(), answer)
-        self.assertEqual(token("ab") + token("c") + DONE, sink.body)
+    def test_complete_stream_is_forwarded_and_charged(self):
+        """Guards against altered responses and wrong service units."""
+        response = STREAM_HEAD + chunked(
+            token_event("ab"), token_event("c"), USAGE_EVENT, DONE_EVENT
+        )
+        result, sink, progress, _ = self.exchange("engine", make_call(), response)
+        self.assertEqual(token_event("ab") + token_event("c") + DONE_EVENT, sink.body)
         self.assertTrue(sink.finished)
         self.assertEqual(3, progress.content_bytes)
-        self.assertEqual(20 * 0.1 + 2 * 1.0, got.units)
+        self.assertEqual(20 * 0.1 + 2 * 1.0, result.units)
 
-    def test_usage_event_is_passed_to_callers_that_asked(self):
-        """Guards against swallowing what the caller asked for."""
-        answer = STREAM + chunked(token("ab"), USAGE, DONE)
-        _, sink, _, _ = self.exchange("engine", call_for(wants_usage=True), answer)
-        self.assertIn(USAGE, sink.body)
+    def test_usage_event_is_forwarded_on_request(self):
+        """Guards against dropping a usage event that the caller requested."""
+        response = STREAM_HEAD + chunked(token_event("ab"), USAGE_EVENT, DONE_EVENT)
+        _, sink, _, _ = self.exchange("engine", make_call(wants_usage=True), response)
+        self.assertIn(USAGE_EVENT, sink.body)
 
-    def test_events_split_anywhere_are_whole(self):
-        """Guards against passing a part of an event."""
-        data = token("ab") + token("cd") + DONE
+    def test_events_split_at_any_byte_are_reassembled(self):
+        """Guards against forwarding an incomplete event."""
+        data = token_event("ab") + token_event("cd") + DONE_EVENT
         for cut in range(1, len(data), 7):
-            answer = STREAM + chunked(data[:cut], data[cut:])
-            _, sink, _, _ = self.exchange("engine", call_for(), answer)
+            response = STREAM_HEAD + chunked(data[:cut], data[cut:])
+            _, sink, _, _ = self.exchange("engine", make_call(), response)
             self.assertEqual(data, sink.body)
             self.assertTrue(sink.finished)
 
-    def test_cut_streams_are_incomplete(self):
-        """Guards against taking a part of an answer for the whole."""
+    def test_truncated_streams_are_incomplete(self):
+        """Guards against treating a truncated response as complete."""
         cases = [
-            STREAM + chunked(token("ab"), end=False),
-            STREAM + chunked(token("ab")),
-            STREAM + chunked(token("ab"), token("cd")[:20], end=False),
+            STREAM_HEAD + chunked(token_event("ab"), end=False),
+            STREAM_HEAD + chunked(token_event("ab")),
+            STREAM_HEAD + chunked(token_event("ab"), token_event("cd")[:20], end=False),
         ]
-        for answer in cases:
-            got, sink, progress, _ = self.exchange("engine", call_for(), answer)
+        for response in cases:
+            result, sink, progress, _ = self.exchange("engine", make_call(), response)
             self.assertIsInstance(
-                got, (EndpointReplyIncompleteError, EndpointDisconnectedError)
+                result, (EndpointReplyIncompleteError, EndpointDisconnectedError)
             )
             self.assertFalse(sink.finished)
-            self.assertEqual(token("ab"), sink.body)
+            self.assertEqual(token_event("ab"), sink.body)
             self.assertEqual(2, progress.content_bytes)
 
-    def test_resume_asks_for_the_missing_part_only(self):
-        """Guards against a doubled or lost token after a resume."""
-        begun = Progress(content_bytes=2, sent=True)
+    def test_resume_requests_only_the_missing_content(self):
+        """Guards against duplicated or lost tokens after a resume."""
+        interrupted = Progress(content_bytes=2, sent=True)
         resumed = (
-            head(200, "text/event-stream", "Transfer-Encoding: chunked")
+            response_head(200, "text/event-stream", "Transfer-Encoding: chunked")
             + b"Resume-Offset: 2\r\n\r\n"
-            + chunked(token("cd"), DONE)
+            + chunked(token_event("cd"), DONE_EVENT)
         )
-        _, sink, progress, scripted = self.exchange(
-            "engine", call_for(), resumed, progress=begun
+        _, sink, progress, scripted_endpoint = self.exchange(
+            "engine", make_call(), resumed, progress=interrupted
         )
-        self.assertIn(b"Resume-Offset: 2\r\n", scripted.requests[0])
-        self.assertEqual(token("cd") + DONE, sink.body)
+        self.assertIn(b"Resume-Offset: 2\r\n", scripted_endpoint.requests[0])
+        self.assertEqual(token_event("cd") + DONE_EVENT, sink.body)
         self.assertEqual(4, progress.content_bytes)
 
-    def test_engine_that_cannot_resume_is_not_read(self):
-        """Guards against a whole answer appended to its own beginning."""
-        begun = Progress(content_bytes=2, sent=True)
-        answer = STREAM + chunked(token("ab"), token("cd"), DONE)
-        got, sink, _, _ = self.exchange("engine", call_for(), answer, progress=begun)
-        self.assertIsInstance(got, EndpointReplyIncompleteError)
+    def test_stream_that_was_not_resumed_is_not_forwarded(self):
+        """Guards against appending a complete response to its own beginning."""
+        interrupted = Progress(content_bytes=2, sent=True)
+        response = STREAM_HEAD + chunked(
+            token_event("ab"), token_event("cd"), DONE_EVENT
+        )
+        result, sink, _, _ = self.exchange(
+            "engine", make_call(), response, progress=interrupted
+        )
+        self.assertIsInstance(result, EndpointReplyIncompleteError)
         self.assertEqual(b"", sink.body)
 
-    def test_crossed_answer_is_dropped(self):
-        """Guards against a caller receiving another caller's answer."""
-        answer = head(200, "application/json", "X-Request-Id: r2", "Content-Length: 2")
-        for kind in ("engine", "plain"):
-            got, sink, _, _ = self.exchange(
-                kind, call_for(stream=False), answer + b"\r\n{}"
+    def test_response_with_another_request_id_is_dropped(self):
+        """Guards against sending a caller the response to another request."""
+        response = response_head(
+            200, "application/json", "X-Request-Id: r2", "Content-Length: 2"
+        )
+        for client_kind in ("engine", "plain"):
+            result, sink, _, _ = self.exchange(
+                client_kind, make_call(stream=False), response + b"\r\n{}"
             )
-            self.assertIsInstance(got, EndpointReplyCrossedError)
+            self.assertIsInstance(result, EndpointReplyCrossedError)
             self.assertFalse(sink.started)
 
-    def test_garbage_answers_are_typed(self):
-        """Guards against an endpoint's garbage reaching a caller."""
+    def test_malformed_responses_raise_typed_errors(self):
+        """Guards against forwarding malformed responses to a caller."""
         cases = [
             b"\x00\x01 garbage\r\n\r\n",
-            STREAM + chunked(b"data: nonsense\n\n"),
-            head(200, "text/html", "Content-Length: 2") + b"\r\nhi",
+            STREAM_HEAD + chunked(b"data: nonsense\n\n"),
+            response_head(200, "text/html", "Content-Length: 2") + b"\r\nhi",
         ]
-        for answer in cases:
-            got, sink, _, _ = self.exchange("engine", call_for(), answer)
+        for response in cases:
+            result, sink, _, _ = self.exchange("engine", make_call(), response)
             self.assertIsInstance(
-                got, (EndpointReplyMalformedError, EndpointDisconnectedError), answer
+                result,
+                (EndpointReplyMalformedError, EndpointDisconnectedError),
+                response,
             )
             self.assertFalse(sink.started)
 
-    def test_short_body_is_incomplete(self):
-        """Guards against a truncated answer of a plain service."""
-        answer = head(200, "text/plain", "Content-Length: 10") + b"\r\nhalf"
-        got, sink, _, _ = self.exchange("plain", call_for(), answer)
-        self.assertIsInstance(got, EndpointReplyIncompleteError)
+    def test_truncated_body_is_incomplete(self):
+        """Guards against treating a truncated body of a plain service as complete."""
+        response = response_head(200, "text/plain", "Content-Length: 10") + b"\r\nhalf"
+        result, sink, _, _ = self.exchange("plain", make_call(), response)
+        self.assertIsInstance(result, EndpointReplyIncompleteError)
         self.assertFalse(sink.finished)
 
-    def test_unreachable_endpoint_has_not_run_it(self):
-        """Guards against 'unknown' where nothing was sent, and the reverse."""
-        for kind in ("engine", "plain"):
-            got, _, progress, _ = self.exchange(kind, call_for(idempotent=False))
-            self.assertIsInstance(got, EndpointUnreachableError)
+    def test_request_to_unreachable_endpoint_was_not_sent(self):
+        """Guards against confusing unsent requests with those that may have run."""
+        for client_kind in ("engine", "plain"):
+            result, _, progress, _ = self.exchange(
+                client_kind, make_call(idempotent=False)
+            )
+            self.assertIsInstance(result, EndpointUnreachableError)
             self.assertFalse(progress.sent)
 
-    def test_connection_closed_without_answer_may_have_run(self):
-        """Guards against a second run of what may have run, also by the library."""
+    def test_request_may_have_run_if_connection_closes_without_response(self):
+        """Guards against repeating such a request, also by the HTTP library."""
         for method in ("POST", "GET"):
-            call = call_for(stream=False, idempotent=False)
+            call = make_call(stream=False, idempotent=False)
             call = Call(**{**_fields(call), "method": method})
-            got, _, progress, scripted = self.exchange("plain", call, b"")
-            self.assertIsInstance(got, EndpointDisconnectedError)
+            result, _, progress, scripted_endpoint = self.exchange("plain", call, b"")
+            self.assertIsInstance(result, EndpointDisconnectedError)
             self.assertTrue(progress.sent)
-            self.assertEqual(1, scripted.connections)
+            self.assertEqual(1, scripted_endpoint.connections)
 
-    def test_timeout_is_typed_and_closes_the_connection(self):
-        """Guards against a late answer read as that of the next request."""
-        got, _, progress, _ = self.exchange("plain", call_for(run_timeout_s=0.1), None)
-        self.assertIsInstance(got, EndpointTimeoutError)
+    def test_timeout_raises_typed_error_and_closes_connection(self):
+        """Guards against reading a late response as that of the next request."""
+        result, _, progress, _ = self.exchange(
+            "plain", make_call(run_timeout_s=0.1), None
+        )
+        self.assertIsInstance(result, EndpointTimeoutError)
         self.assertTrue(progress.sent)
 
-    def test_refusals_are_not_run_only_where_that_is_known(self):
+    def test_refusal_of_non_idempotent_request_may_have_run(self):
         """Guards against repeating a non-idempotent request after a 503."""
-        answer = head(503, "text/plain", "Content-Length: 4") + b"\r\nbusy"
-        got, _, progress, _ = self.exchange("plain", call_for(), answer)
-        self.assertIsInstance(got, EndpointRefusedError)
+        response = response_head(503, "text/plain", "Content-Length: 4") + b"\r\nbusy"
+        result, _, progress, _ = self.exchange("plain", make_call(), response)
+        self.assertIsInstance(result, EndpointRefusedError)
         self.assertFalse(progress.sent)
-        got, sink, progress, _ = self.exchange(
-            "plain", call_for(idempotent=False), answer
+        result, sink, progress, _ = self.exchange(
+            "plain", make_call(idempotent=False), response
         )
         self.assertEqual(503, sink.status)
         self.assertTrue(progress.sent)
--- a/borageworks/endpoints/transport.py
+++ b/borageworks/endpoints/transport.py
@@ -23,34 +23,36 @@
 )
 
 CONNECT_TIMEOUT_S = 2.0
-# Shorter than the idle timeout of common servers, so that a kept connection is rarely
-# closed by the endpoint at the moment of its next use.
-KEEPALIVE_S = 10.0
+# Shorter than the idle timeout of common servers, so that an endpoint rarely closes an
+# idle connection just as it is reused.
+KEEPALIVE_TIMEOUT_S = 10.0
 MAX_HEADER_BYTES = 16_384
 REQUEST_ID_HEADER = "X-Request-Id"
 
 
 class Transport:
-    """Connections to endpoints.
+    """Opens connections to endpoints and sends requests over them.
 
-    Non-idempotent requests use a fresh connection each: a failure to connect is then
-    known to have happened before the request was sent.
+    Each non-idempotent request uses a new connection, so that a connection failure is
+    known to have occurred before the request was sent.
     """
 
     def __init__(self) -> None:
-        self._pooled: aiohttp.ClientSession | None = None
-        self._fresh: aiohttp.ClientSession | None = None
+        self._pooled_session: aiohttp.ClientSession | None = None
+        self._single_use_session: aiohttp.ClientSession | None = None
 
     async def start(self) -> None:
-        """Create the client sessions on the running loop."""
-        self._pooled = self._session(
-            BoundedConnector(limit=0, keepalive_timeout=KEEPALIVE_S)
+        """Create the client sessions on the running event loop."""
+        self._pooled_session = self._new_session(
+            BoundedConnector(limit=0, keepalive_timeout=KEEPALIVE_TIMEOUT_S)
+        )
+        self._single_use_session = self._new_session(
+            BoundedConnector(limit=0, force_close=True)
         )
-        self._fresh = self._session(BoundedConnector(limit=0, force_close=True))
 
     async def stop(self) -> None:
         """Close all connections."""
-        for session in (self._pooled, self._fresh):
+        for session in (self._pooled_session, self._single_use_session):
             if session is not None:
                 await session.close()
 
@@ -62,12 +64,12 @@
         Raises
         ------
         EndpointFailedError
-            If the endpoint does not answer with a JSON object in time.
+            If the endpoint does not return a JSON object within the timeout.
         """
-        assert self._pooled is not None
+        assert self._pooled_session is not None
         timeout = aiohttp.ClientTimeout(total=timeout_s)
         try:
-            async with self._pooled.get(
+            async with self._pooled_session.get(
                 _url(endpoint, path), timeout=timeout
             ) as response:
                 if response.status != 200:
@@ -99,16 +101,20 @@
         progress: Progress,
         extra_headers: tuple[tuple[str, str], ...] = (),
     ) -> AsyncIterator[aiohttp.ClientResponse]:
-        """Send the call; failures inside the block become typed errors.
+        """Send the call and convert HTTP library errors raised in the block.
 
         Raises
         ------
         EndpointUnreachableError
-            If no connection was made, so that the request was certainly not sent.
+            If no connection was established, so that the request was not sent.
         EndpointFailedError
-            Any other failure; the request may have run.
+            On any other failure; the endpoint may have run the request.
         """
-        session = self._pooled if call.service.idempotent else self._fresh
+        session = (
+            self._pooled_session
+            if call.service.idempotent
+            else self._single_use_session
+        )
         assert session is not None
         headers = [
             *call.headers,
@@ -139,7 +145,7 @@
             progress.sent = sent_before
             raise
 
-    def _session(self, connector: aiohttp.TCPConnector) -> aiohttp.ClientSession:
+    def _new_session(self, connector: aiohttp.TCPConnector) -> aiohttp.ClientSession:
         return aiohttp.ClientSession(
             connector=connector,
             cookie_jar=aiohttp.DummyCookieJar(),
@@ -160,10 +166,10 @@
 def _check_request_id(
     endpoint: Endpoint, call: Call, response: aiohttp.ClientResponse
 ) -> None:
-    echoed = response.headers.get(REQUEST_ID_HEADER)
-    if echoed is not None and echoed != call.request_id:
+    echoed_id = response.headers.get(REQUEST_ID_HEADER)
+    if echoed_id is not None and echoed_id != call.request_id:
         response.close()
         raise EndpointReplyCrossedError(
-            f"endpoint {endpoint.id!r} answered request {echoed!r} "
+            f"endpoint {endpoint.id!r} sent the response to request {echoed_id!r} "
             f"instead of {call.request_id!r}"
         )
