--- a/borageworks/platform/codec.py
+++ b/borageworks/platform/codec.py
@@ -1,9 +1,8 @@
-"""The adapter's translations, in the form that the gateway takes."""
+"""Implements the gateway's codec interface for the platform's protocol."""
 
 from __future__ import annotations
 
 from borageworks.platform import names
-from borageworks.platform.answers import decode_answer
 from borageworks.platform.configuration import decode_configuration
 from borageworks.platform.engine_memory import (
     LIST_PATH,
@@ -14,10 +13,11 @@
 )
 from borageworks.platform.entries import decode_entry
 from borageworks.platform.requests import caller_key, decode_request, forwarded_headers
+from borageworks.platform.responses import decode_response_head
 
 
 class PlatformCodec:
-    """Translations of the platform's messages."""
+    """Encodes and decodes the platform's messages."""
 
     configuration_key = names.CONFIGURATION_KEY
     endpoint_prefix = names.ENDPOINT_PREFIX
@@ -29,7 +29,7 @@
     request = staticmethod(decode_request)
     caller_key = staticmethod(caller_key)
     forwarded_headers = staticmethod(forwarded_headers)
-    answer = staticmethod(decode_answer)
+    answer = staticmethod(decode_response_head)
     memory_events_target = staticmethod(events_target)
     memory_events = staticmethod(decode_events)
     memory_list = staticmethod(decode_list)
--- a/borageworks/platform/configuration.py
+++ b/borageworks/platform/configuration.py
@@ -17,9 +17,9 @@
 from borageworks.gateway.route import Repeat, Route, Target
 
 MILLISECONDS_PER_SECOND = 1000.0
-# Bounds for callers where the operator states none.
-DEFAULT_HEADER_BYTES = 16_384
-DEFAULT_BODY_BYTES = 4_194_304
+# Limits for callers, used if the configuration has none.
+DEFAULT_MAX_HEADER_BYTES = 16_384
+DEFAULT_MAX_BODY_BYTES = 4_194_304
 DEFAULT_IDLE_TIMEOUT_MS = 15_000.0
 
 Positive = Annotated[float, Field(gt=0)]
@@ -60,8 +60,8 @@
 
 
 class _Limits(_Model):
-    max_header_bytes: int = DEFAULT_HEADER_BYTES
-    max_body_bytes: int = DEFAULT_BODY_BYTES
+    max_header_bytes: int = DEFAULT_MAX_HEADER_BYTES
+    max_body_bytes: int = DEFAULT_MAX_BODY_BYTES
     idle_timeout_ms: float = DEFAULT_IDLE_TIMEOUT_MS
     tokens_per_s: float | None = None
 
@@ -80,19 +80,19 @@
 
 
 def decode_configuration(data: bytes) -> Deployment:
-    """Return the deployment that the operator wrote.
+    """Return the deployment that a configuration describes.
 
     Raises
     ------
     DeploymentMalformedError
-        If the bytes do not describe one.
+        If the configuration is invalid.
     """
     try:
         model = _Configuration.model_validate_json(data)
     except ValidationError as error:
-        first = error.errors(include_url=False, include_input=False)[0]
-        place = ".".join(str(step) for step in first["loc"])
-        raise DeploymentMalformedError(f"{place}: {first['msg']}") from error
+        first_error = error.errors(include_url=False, include_input=False)[0]
+        location = ".".join(str(step) for step in first_error["loc"])
+        raise DeploymentMalformedError(f"{location}: {first_error['msg']}") from error
     return Deployment(
         version=model.version,
         routes=tuple(_route(route) for route in model.routes),
@@ -113,7 +113,9 @@
         repeat = Repeat.RESUME if model.resumable else Repeat.NEVER
     else:
         repeat = Repeat.WHOLE if model.route_type == "idempotent" else Repeat.NEVER
-    targets = tuple(Target(item.service, item.weight) for item in model.traffic_split)
+    targets = tuple(
+        Target(split.service, split.weight) for split in model.traffic_split
+    )
     if model.service is not None:
         targets = (Target(model.service, 1.0),)
     return Route(
--- a/borageworks/platform/engine_memory.py
+++ b/borageworks/platform/engine_memory.py
@@ -1,4 +1,4 @@
-"""Decodes what model engines tell about the prompt parts that they keep."""
+"""Decodes reports of model engines about their cached prompt parts."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 
 
 def events_target(since: int) -> str:
-    """Return the request target for the changes after number `since`."""
+    """Return the request target for changes after sequence number `since`."""
     return f"{EVENTS_PATH}?since={since}"
 
 
 def decode_events(data: bytes) -> MemoryNews:
-    """Return the changes that an engine lists.
+    """Return the cache changes that an engine reports.
 
     Raises
     ------
     EndpointReplyMalformedError
-        If the answer has another form.
+        If the response is malformed.
     """
     try:
         body: Any = orjson.loads(data)
-        # A row: number, sign, unused text, part, tokens that are kept now, model.
+        # Row: sequence number, sign, unused text, part, cached tokens, model.
         changes = tuple(
             KeptPart(str(row[3]), int(row[4]) if row[1] == "+" else 0, str(row[5]))
             for row in body["events"]
@@ -38,17 +38,23 @@
             str(body["epoch"]), int(body["next"]), bool(body["lost"]), False, changes
         )
     except (ValueError, KeyError, IndexError, TypeError) as error:
-        raise EndpointReplyMalformedError(f"memory events: {error!r}") from error
+        raise EndpointReplyMalformedError(
+            f"malformed engine memory events: {error!r}"
+        ) from error
 
 
 def decode_list(data: bytes) -> MemoryNews:
-    """Return all parts that an engine keeps; raises like `decode_events`."""
+    """Return all parts that an engine has cached; raises like `decode_events`."""
     try:
         body: Any = orjson.loads(data)
-        # A row: unused text, part, tokens, model.
-        held = tuple(
+        # Row: unused text, part, cached tokens, model.
+        cached_parts = tuple(
             KeptPart(str(row[1]), int(row[2]), str(row[3])) for row in body["held"]
         )
-        return MemoryNews(str(body["epoch"]), int(body["next"]), False, True, held)
+        return MemoryNews(
+            str(body["epoch"]), int(body["next"]), False, True, cached_parts
+        )
     except (ValueError, KeyError, IndexError, TypeError) as error:
-        raise EndpointReplyMalformedError(f"memory list: {error!r}") from error
+        raise EndpointReplyMalformedError(
+            f"malformed engine memory list: {error!r}"
+        ) from error
--- a/borageworks/platform/entries.py
+++ b/borageworks/platform/entries.py
@@ -1,4 +1,4 @@
-"""Decodes the entries with which endpoints register themselves."""
+"""Decodes the store entries in which endpoints register themselves."""
 
 from __future__ import annotations
 
@@ -27,34 +27,34 @@
 
 
 def decode_entry(key: str, data: bytes) -> Endpoint:
-    """Return the endpoint of one entry.
+    """Return the endpoint that an entry describes.
 
     Raises
     ------
     EndpointEntryMalformedError
-        If the entry was not written by an endpoint in the expected form.
+        If the entry is invalid.
     """
     try:
         entry = _Entry.model_validate_json(data)
     except ValidationError as error:
-        raise EndpointEntryMalformedError(f"{key}: {error.error_count()} faults") from (
-            error
-        )
+        raise EndpointEntryMalformedError(
+            f"{key}: {error.error_count()} validation errors"
+        ) from error
     host, _, port = entry.address.rpartition(":")
     try:
         ipaddress.ip_address(host)
-        number = int(port)
+        port_number = int(port)
     except ValueError as error:
-        raise EndpointEntryMalformedError(f"{key}: address {entry.address!r}") from (
-            error
-        )
-    if not 0 < number <= MAX_PORT:
-        raise EndpointEntryMalformedError(f"{key}: port {number}")
+        raise EndpointEntryMalformedError(
+            f"{key}: invalid address {entry.address!r}"
+        ) from error
+    if not 0 < port_number <= MAX_PORT:
+        raise EndpointEntryMalformedError(f"{key}: port {port_number} out of range")
     return Endpoint(
         id=key.removeprefix(names.ENDPOINT_PREFIX),
         service=entry.service,
         host=host,
-        port=number,
+        port=port_number,
         domain=entry.zone,
         slots=entry.slots,
         leaving=entry.state == "draining",
--- a/borageworks/platform/main.py
+++ b/borageworks/platform/main.py
@@ -1,4 +1,4 @@
-"""Program that runs the gateway on the platform."""
+"""Program that runs a gateway on the platform."""
 
 from __future__ import annotations
 
@@ -21,10 +21,11 @@
 from borageworks.platform.store import PlatformStore
 
 SETTINGS_VARIABLE = "BORAGEWORKS_CONFIG"
-# The platform asks all instances for metrics at one port, which its own settings lack.
+# The platform reads the metrics of all instances at one port, which the settings file
+# does not contain.
 METRICS_PORT_VARIABLE = "BORAGEWORKS_METRICS_PORT"
-DEFAULT_SETTINGS = "/etc/borageworks/settings.conf"
-EXIT_SETTINGS = 2
+DEFAULT_SETTINGS_PATH = "/etc/borageworks/settings.conf"
+EXIT_INVALID_SETTINGS = 2
 
 
 async def serve(path: Path, settings: GatewaySettings) -> None:
@@ -33,14 +34,14 @@
     Parameters
     ----------
     path
-        Settings file, which is followed.
+        Settings file, which is reloaded when it changes.
     settings
-        Its present content.
+        Current content of the file.
     """
-    stop = asyncio.Event()
+    stop_requested = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop_requested.set)
     metrics = Metrics()
     writer = LogWriter(sys.stdout.fileno(), metrics, settings.instance)
     writer.start()
@@ -50,15 +51,15 @@
     reloader = SettingsReloader(path, load_settings, gateway.configure, metrics)
     loop.add_signal_handler(signal.SIGHUP, reloader.signal)
     await gateway.start()
-    following = loop.create_task(reloader.run())
-    await stop.wait()
+    reload_task = loop.create_task(reloader.run())
+    await stop_requested.wait()
     await gateway.stop()
-    following.cancel()
+    reload_task.cancel()
     writer.stop()
 
 
 def run(path: Path) -> None:
-    """Run a gateway with the settings in a file; exit with 2 if it has faults."""
+    """Run a gateway with the given settings file; exit with 2 if it is invalid."""
     port = os.environ.get(METRICS_PORT_VARIABLE)
     try:
         settings = load_settings(path)
@@ -67,10 +68,10 @@
     except SettingsInvalidError as error:
         for reason in error.reasons:
             sys.stderr.write(f"{path}: {reason}\n")
-        sys.exit(EXIT_SETTINGS)
+        sys.exit(EXIT_INVALID_SETTINGS)
     run_loop(serve(path, settings))
 
 
 def main() -> None:
-    """Run a gateway with the settings file that the environment names."""
-    run(Path(os.environ.get(SETTINGS_VARIABLE, DEFAULT_SETTINGS)))
+    """Run a gateway with the settings file named in the environment."""
+    run(Path(os.environ.get(SETTINGS_VARIABLE, DEFAULT_SETTINGS_PATH)))
--- a/borageworks/platform/names.py
+++ b/borageworks/platform/names.py
@@ -1,4 +1,4 @@
-"""Names of the platform's protocol that more than one module of the adapter uses."""
+"""Header names and store keys of the platform's protocol that modules share."""
 
 REQUEST_ID = "X-Borageworks-Attempt-Id"
 REMAINING_MS = "X-Borageworks-Deadline-Remaining"
@@ -7,9 +7,9 @@
 MODEL = "X-Borageworks-Model"
 ORGANISATION = "X-Borageworks-Tenant"
 EXPECTED_ENDPOINT = "X-Borageworks-Expect-Instance"
-SEAL = "X-Borageworks-Response-Seal"
-NOT_RUN = "X-Borageworks-Not-Executed"
-LAST_EVENT = "Last-Event-Id"
+RESPONSE_SEAL = "X-Borageworks-Response-Seal"
+NOT_EXECUTED = "X-Borageworks-Not-Executed"
+LAST_EVENT_ID = "Last-Event-Id"
 
 CONFIGURATION_KEY = "op/config"
 ENDPOINT_PREFIX = "servers/"
--- a/borageworks/platform/requests.py
+++ b/borageworks/platform/requests.py
@@ -1,4 +1,4 @@
-"""Decodes callers' requests and builds the headers that endpoints get."""
+"""Decodes requests of callers and builds the headers for endpoints."""
 
 from __future__ import annotations
 
@@ -11,10 +11,11 @@
 from borageworks.gateway.caller_request import CallerRequest, Prompt, PromptPart
 from borageworks.platform import names
 
-KEY_SCHEME = "token "
+AUTHORIZATION_SCHEME = "token "
 MILLISECONDS_PER_SECOND = 1000.0
-# Set by the router, or reserved for it: a caller could otherwise place work itself.
-_REPLACED = frozenset(
+# Only the router may set these: a caller could otherwise choose the endpoint or act as
+# another organisation.
+_RESERVED_HEADERS = frozenset(
     name.lower()
     for name in (
         names.REMAINING_MS,
@@ -34,14 +35,14 @@
 def decode_request(
     method: str, target: str, headers: CIMultiDictProxy[str]
 ) -> CallerRequest:
-    """Return the request that a caller sent.
+    """Return a caller's request in decoded form.
 
     Parameters
     ----------
     method, target
         Method and request target of the request line.
     headers
-        Headers as they were sent.
+        Headers as received.
     """
     host = headers.get("Host", "").rpartition(":")
     return CallerRequest(
@@ -53,14 +54,14 @@
         .lower(),
         path=target.partition("?")[0],
         key=caller_key(headers),
-        patience_s=_seconds(headers.get(names.REMAINING_MS)),
-        last_event=_whole(headers.get(names.LAST_EVENT)),
-        prompt=_prompt(headers),
+        patience_s=_parse_seconds(headers.get(names.REMAINING_MS)),
+        last_event=_parse_count(headers.get(names.LAST_EVENT_ID)),
+        prompt=_decode_prompt(headers),
         headers=tuple(
             (name, value)
             for name, value in end_to_end(headers.items())
-            if name.lower() not in _REPLACED
-            and name.lower() != names.LAST_EVENT.lower()
+            if name.lower() not in _RESERVED_HEADERS
+            and name.lower() != names.LAST_EVENT_ID.lower()
         ),
     )
 
@@ -73,22 +74,22 @@
     remaining_s: float,
     last_event: int | None,
 ) -> Iterable[tuple[str, str]]:
-    """Return the headers for an endpoint.
+    """Return the headers of a request to an endpoint.
 
     Parameters
     ----------
     request
         The caller's request.
     host_header
-        Host header of the caller.
+        Host header that the caller sent.
     organisation
-        Name of the organisation that holds the key, or None without a key.
+        Name of the organisation to which the API key belongs, or None without a key.
     endpoint
-        Identity of the endpoint; any other one that has its address refuses.
+        ID of the endpoint; another endpoint at the same address refuses the request.
     remaining_s
-        Seconds in which the endpoint must have answered.
+        Seconds until the endpoint must have responded.
     last_event
-        Last event that the caller has.
+        ID of the last event that the caller received, or None.
     """
     remaining_ms = max(1, math.floor(remaining_s * MILLISECONDS_PER_SECOND))
     yield "Host", host_header
@@ -98,18 +99,20 @@
     if organisation is not None:
         yield names.ORGANISATION, organisation
     if last_event is not None:
-        yield names.LAST_EVENT, str(last_event)
+        yield names.LAST_EVENT_ID, str(last_event)
 
 
 def caller_key(headers: CIMultiDictProxy[str]) -> str | None:
     """Return the API key of a request, or None."""
     authorization = headers.get("Authorization")
-    if authorization is None or not authorization.lower().startswith(KEY_SCHEME):
+    if authorization is None or not authorization.lower().startswith(
+        AUTHORIZATION_SCHEME
+    ):
         return None
-    return authorization[len(KEY_SCHEME) :].strip()
+    return authorization[len(AUTHORIZATION_SCHEME) :].strip()
 
 
-def _seconds(text: str | None) -> float | None:
+def _parse_seconds(text: str | None) -> float | None:
     try:
         seconds = float(text or "") / MILLISECONDS_PER_SECOND
     except ValueError:
@@ -117,28 +120,32 @@
     return seconds if math.isfinite(seconds) and seconds >= 0 else None
 
 
-def _whole(text: str | None) -> int | None:
+def _parse_count(text: str | None) -> int | None:
     return int(text) if text and text.isascii() and text.isdigit() else None
 
 
-def _prompt(headers: CIMultiDictProxy[str]) -> Prompt | None:
-    read, _, generated = headers.get(names.TOKEN_COUNT, "").partition(",")
-    tokens, answer = _whole(read.strip()), _whole(generated.strip())
-    if tokens is None or answer is None:
+def _decode_prompt(headers: CIMultiDictProxy[str]) -> Prompt | None:
+    prompt, _, generated = headers.get(names.TOKEN_COUNT, "").partition(",")
+    prompt_tokens, generated_tokens = (
+        _parse_count(prompt.strip()),
+        _parse_count(generated.strip()),
+    )
+    if prompt_tokens is None or generated_tokens is None:
         return None
     return Prompt(
         model=headers.get(names.MODEL, ""),
-        tokens=tokens,
-        generated_tokens=answer,
-        parts=tuple(_parts(headers.get(names.PROMPT_PARTS, ""))),
+        tokens=prompt_tokens,
+        generated_tokens=generated_tokens,
+        parts=tuple(_decode_parts(headers.get(names.PROMPT_PARTS, ""))),
     )
 
 
-def _parts(text: str) -> Iterable[PromptPart]:
+def _decode_parts(text: str) -> Iterable[PromptPart]:
     for item in text.split(","):
         part, _, tokens = item.strip().rpartition(":")
-        count = _whole(tokens)
-        if not part or count is None:
-            # Later parts are kept only after this one, so they tell nothing.
+        token_count = _parse_count(tokens)
+        if not part or token_count is None:
+            # Engines cache a part only together with all parts before it, so the
+            # parts after an unreadable one are of no use.
             return
-        yield PromptPart(part, count)
+        yield PromptPart(part, token_count)
--- a/borageworks/platform/answers.py
+++ b/borageworks/platform/responses.py
@@ -1,4 +1,4 @@
-"""Decodes what endpoints say in the headers of an answer."""
+"""Decodes the headers of responses from endpoints."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 MISDIRECTED = 421
 
 
-def decode_answer(status: int, headers: CIMultiDictProxy[str]) -> AnswerHead:
-    """Return what an endpoint states before the body of its answer."""
+def decode_response_head(status: int, headers: CIMultiDictProxy[str]) -> AnswerHead:
+    """Return the status and headers of a response in decoded form."""
     return AnswerHead(
         status=status,
         request_id=headers.get(names.REQUEST_ID),
-        genuine=names.SEAL in headers,
-        not_run=names.NOT_RUN in headers or status == MISDIRECTED,
+        genuine=names.RESPONSE_SEAL in headers,
+        not_run=names.NOT_EXECUTED in headers or status == MISDIRECTED,
         other_endpoint=status == MISDIRECTED,
     )
--- a/borageworks/platform/settings.py
+++ b/borageworks/platform/settings.py
@@ -1,4 +1,4 @@
-"""Decodes the platform's settings file, lines of the form ``a.b=value``."""
+"""Decodes the platform's settings file, which has lines of the form ``a.b=value``."""
 
 from __future__ import annotations
 
@@ -11,23 +11,24 @@
 from borageworks.gateway.settings import GatewaySettings, HostPort
 
 MILLISECONDS_PER_SECOND = 1000.0
-HIGHEST_PORT = 65_535
-# The platform checks readiness each second and takes an instance out after two misses;
-# the rest covers a check that has just been passed and the way of a connection.
+MAX_PORT = 65_535
+# The load balancer checks readiness every second and removes an instance after two
+# failed checks. The remainder covers a check that has just succeeded and the time that
+# a new connection takes to arrive.
 BALANCER_LAG_S = 2.8
-# A mean lag over this adds noticeably to the shortest aims of callers, and shows that
-# the loop is never idle.
-LAG_LIMIT_S = 0.03
+# A higher mean lag adds noticeably to the shortest target latencies of callers, and
+# shows that the event loop is never idle.
+LOOP_LAG_LIMIT_S = 0.03
 
 
-def _address(text: object) -> object:
+def _split_address(text: object) -> object:
     if isinstance(text, str):
         host, _, port = text.rpartition(":")
         return {"host": host, "port": port}
     return text
 
 
-def _addresses(text: object) -> object:
+def _split_list(text: object) -> object:
     return [item for item in text.split(",") if item] if isinstance(text, str) else text
 
 
@@ -37,10 +38,10 @@
 
 class _HostPort(_Model):
     host: Annotated[str, Field(min_length=1)]
-    port: Annotated[int, Field(gt=0, le=HIGHEST_PORT)]
+    port: Annotated[int, Field(gt=0, le=MAX_PORT)]
 
 
-_Address = Annotated[_HostPort, BeforeValidator(_address)]
+_Address = Annotated[_HostPort, BeforeValidator(_split_address)]
 Positive = Annotated[float, Field(gt=0)]
 
 
@@ -74,11 +75,11 @@
     zone: Annotated[str, Field(min_length=1)]
     listen: _Listen
     port_range: Annotated[
-        tuple[Annotated[int, Field(gt=0, le=HIGHEST_PORT)], ...],
-        BeforeValidator(_addresses),
+        tuple[Annotated[int, Field(gt=0, le=MAX_PORT)], ...],
+        BeforeValidator(_split_list),
         Field(min_length=1),
     ]
-    seeds: Annotated[tuple[_Address, ...], BeforeValidator(_addresses)] = ()
+    seeds: Annotated[tuple[_Address, ...], BeforeValidator(_split_list)] = ()
     limits: _Limits = _Limits()
     bounds: _Bounds
     platform: _Store
@@ -90,7 +91,7 @@
     Raises
     ------
     SettingsInvalidError
-        With every fault, each with the name of its field.
+        With all errors, each with the name of its field.
     """
     try:
         text = path.read_text(encoding="utf-8")
@@ -100,75 +101,75 @@
 
 
 def parse_settings(text: str) -> GatewaySettings:
-    """Return the settings in a text; raises like `load_settings`."""
-    tree, faults = _tree(text)
-    if faults:
-        raise SettingsInvalidError(tuple(faults))
+    """Return the settings in the text of a file; raises like `load_settings`."""
+    tree, errors = _parse_tree(text)
+    if errors:
+        raise SettingsInvalidError(tuple(errors))
     try:
         model = _Settings.model_validate(tree)
     except ValidationError as error:
         raise SettingsInvalidError(
             tuple(
-                f"{'.'.join(str(step) for step in fault['loc'])}: {fault['msg']}"
-                for fault in error.errors(include_url=False, include_input=False)
+                f"{'.'.join(str(step) for step in detail['loc'])}: {detail['msg']}"
+                for detail in error.errors(include_url=False, include_input=False)
             )
         ) from error
-    return _settings(model)
+    return _gateway_settings(model)
 
 
 def parse_port(text: str) -> int:
-    """Return a port.
+    """Return the port number in `text`.
 
     Raises
     ------
     SettingsInvalidError
-        If the text is none.
+        If the text is not a port number.
     """
-    if not text.isdecimal() or not 0 < int(text) <= HIGHEST_PORT:
-        raise SettingsInvalidError((f"{text!r} is no port",))
+    if not text.isdecimal() or not 0 < int(text) <= MAX_PORT:
+        raise SettingsInvalidError((f"{text!r} is not a port number",))
     return int(text)
 
 
-def _tree(text: str) -> tuple[dict[str, object], list[str]]:
+def _parse_tree(text: str) -> tuple[dict[str, object], list[str]]:
     tree: dict[str, object] = {}
-    faults: list[str] = []
+    errors: list[str] = []
     for number, line in enumerate(text.splitlines(), 1):
         if not line.strip() or line.lstrip().startswith("#"):
             continue
         name, equals, value = line.partition("=")
         if not equals:
-            faults.append(f"line {number}: no '='")
+            errors.append(f"line {number}: no '='")
             continue
-        branch = tree
+        node = tree
         *parents, leaf = name.strip().split(".")
         for parent in parents:
-            below = branch.setdefault(parent, {})
-            if not isinstance(below, dict):
-                faults.append(f"line {number}: {parent!r} has a value and fields")
+            child = node.setdefault(parent, {})
+            if not isinstance(child, dict):
+                errors.append(f"line {number}: {parent!r} has both a value and fields")
                 break
-            branch = below
+            node = child
         else:
-            branch[leaf] = value.strip()
-    return tree, faults
+            node[leaf] = value.strip()
+    return tree, errors
 
 
-def _settings(model: _Settings) -> GatewaySettings:
+def _gateway_settings(model: _Settings) -> GatewaySettings:
     bounds = model.bounds
     return GatewaySettings(
         instance=model.node_name,
         domain=model.zone,
         host=model.ip,
-        callers=_pair(model.listen.front),
-        status=_pair(model.listen.ready),
-        relay=_pair(model.listen.control),
+        callers=_host_port(model.listen.front),
+        status=_host_port(model.listen.ready),
+        relay=_host_port(model.listen.control),
         peer_port=model.port_range[0],
-        seeds=tuple(_pair(seed) for seed in model.seeds),
-        store=_pair(model.platform.address),
+        seeds=tuple(_host_port(seed) for seed in model.seeds),
+        store=_host_port(model.platform.address),
         capacity=model.limits.cpu_share * model.limits.cores,
         apply_s=bounds.config_apply_ms / MILLISECONDS_PER_SECOND,
         contact_s=bounds.contact_ms / MILLISECONDS_PER_SECOND,
         shutdown_s=bounds.grace_s,
-        lag_limit_s=LAG_LIMIT_S,
+        lag_limit_s=LOOP_LAG_LIMIT_S,
         retry_ratio=bounds.retry_budget_ratio,
         retry_window_s=bounds.budget_window_s,
         retry_extra=bounds.budget_extra,
@@ -176,5 +177,5 @@
     )
 
 
-def _pair(address: _HostPort) -> HostPort:
+def _host_port(address: _HostPort) -> HostPort:
     return HostPort(address.host, address.port)
--- a/borageworks/platform/start.py
+++ b/borageworks/platform/start.py
@@ -1,4 +1,4 @@
-"""Starts the gateway's program on the platform."""
+"""Entry point of the gateway on the platform."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 def main() -> None:
     """Run the program.
 
-    The platform may announce changed settings at any moment. Until the program listens
-    for that signal, which takes it a second of imports, the signal would end it; the
-    settings are read after that anyway.
+    The platform may send SIGHUP at any time to announce changed settings. The signal
+    would terminate the process until a handler is installed, which takes about a second
+    because of the imports. It is ignored until then; the settings are read afterwards.
     """
     signal.signal(signal.SIGHUP, signal.SIG_IGN)
     from borageworks.platform.main import main as run_program
--- a/borageworks/platform/store.py
+++ b/borageworks/platform/store.py
@@ -32,61 +32,64 @@
 )
 
 MILLISECONDS_PER_SECOND = 1000.0
-# A call normally takes milliseconds; the limit lets a store that is fifty times slower
-# answer, and leaves time for a second call within the shortest lease.
+# A call normally takes milliseconds. The limit allows for a store that is fifty times
+# slower, and leaves time for a second call within the shortest lease.
 CALL_TIMEOUT_S = 1.5
 CONNECT_TIMEOUT_S = 0.7
-# Time for the answer of a watch beyond its wait.
-WATCH_MARGIN_S = 0.7
-# A watch that hangs on a silent connection has ended this long before the bound for
-# changes that are made once the store counts as stable again.
-WATCH_RESERVE_S = 0.8
-WATCH_WAIT_LEAST_S = 1.0
-# Changes that come close together, as when a fleet starts, share one call.
-WATCH_PAUSE_S = 0.5
-RETRY_FIRST_S = 0.1
-RETRY_LIMIT_S = 0.8
-OK = 200
-NOT_FOUND = 404
-COMPACTED = 410
-CONDITION_FAILED = 412
-# Refusals after which the platform states that nothing was done.
-NOT_DONE = frozenset((403, 429, 503))
+# Time allowed for the reply to a watch call after its wait has ended.
+WATCH_REPLY_MARGIN_S = 0.7
+# A watch call on an unresponsive connection times out this long before the time limit
+# for applying changes made after the store is considered stable again.
+WATCH_TIMEOUT_RESERVE_S = 0.8
+WATCH_WAIT_MIN_S = 1.0
+# Changes in quick succession, for example when a fleet starts, are read in one call.
+WATCH_INTERVAL_S = 0.5
+RETRY_DELAY_INITIAL_S = 0.1
+RETRY_DELAY_MAX_S = 0.8
+STATUS_OK = 200
+STATUS_NOT_FOUND = 404
+STATUS_COMPACTED = 410
+STATUS_CONDITION_FAILED = 412
+# The platform guarantees that a refused call with such a status had no effect.
+NOT_APPLIED_STATUSES = frozenset((403, 429, 503))
 
 
 class PlatformStore:
-    """Store over the platform's HTTP protocol; keys are passed as they are.
+    """Store client for the platform's HTTP protocol; keys are sent unchanged.
 
     Parameters
     ----------
     settings
-        Address of the store, and the bounds for changes.
+        Address of the store, and time limits for applying changes.
     metrics
-        Receives the counter `store_calls` by kind of call, `store_failures` by error
-        code, and the duration `store_call`.
+        Receives the counters `store_calls` by type of call and `store_failures` by
+        error code, and the duration `store_call`.
     """
 
     def __init__(self, settings: GatewaySettings, metrics: Metrics) -> None:
-        self._base = f"http://{settings.store.host}:{settings.store.port}"
-        self._wait_s = max(
-            settings.contact_s + settings.apply_s - WATCH_MARGIN_S - WATCH_RESERVE_S,
-            WATCH_WAIT_LEAST_S,
+        self._base_url = f"http://{settings.store.host}:{settings.store.port}"
+        self._max_wait_s = max(
+            settings.contact_s
+            + settings.apply_s
+            - WATCH_REPLY_MARGIN_S
+            - WATCH_TIMEOUT_RESERVE_S,
+            WATCH_WAIT_MIN_S,
         )
-        self._regained = asyncio.Event()
+        self._recovered = asyncio.Event()
         self._metrics = metrics
         self._session: aiohttp.ClientSession | None = None
         self._failing_since: float | None = None
-        self._regained_at: float | None = None
+        self._recovered_at: float | None = None
 
     @property
     def failing_since(self) -> float | None:
-        """Loop time of the first failure since the last success, None after one."""
+        """Loop time of the first failure since the last success, or None."""
         return self._failing_since
 
     @property
     def regained_at(self) -> float | None:
-        """Loop time of the first success after a failure, None without one."""
-        return self._regained_at
+        """Loop time of the first success after the last failure, or None."""
+        return self._recovered_at
 
     async def close(self) -> None:
         """Close all connections."""
@@ -97,36 +100,40 @@
     async def get(self, key: str) -> StoredValue | None:
         """Return the value of `key`, or None if it is absent."""
         status, reply = await self._call("get", "GET", "/kv-key", query={"key": key})
-        if status == NOT_FOUND:
+        if status == STATUS_NOT_FOUND:
             return None
-        return _stored(_checked(status, reply))[1]
+        return _decode_item(_check_reply(status, reply))[1]
 
     async def range(self, prefix: str) -> RangeResult:
         """Return all keys that start with `prefix`.
 
         Pages are read one after the other. The revision is that of the first page, so
-        that a watch from there on reports what changed between the pages.
+        that a watch from this revision reports changes made between the pages.
         """
         values: dict[str, StoredValue] = {}
         revision: int | None = None
         query = {"prefix": prefix}
         while True:
-            status, answer = await self._call("range", "GET", "/kv-range", query=query)
-            reply = _checked(status, answer)
+            status, unchecked_reply = await self._call(
+                "range", "GET", "/kv-range", query=query
+            )
+            reply = _check_reply(status, unchecked_reply)
             try:
-                page = dict(_stored(item) for item in reply["items"])
+                page = dict(_decode_item(item) for item in reply["items"])
                 if revision is None:
                     revision = int(reply["store_revision"])
                 truncated = bool(reply["truncated"])
             except (KeyError, TypeError, ValueError) as error:
-                raise StoreReplyMalformedError(f"range reply: {error!r}") from error
+                raise StoreReplyMalformedError(
+                    f"malformed range reply: {error!r}"
+                ) from error
             values.update(page)
             if not truncated or not page:
                 return RangeResult(values, revision)
             query = {"prefix": prefix, "after": max(page)}
 
     async def commit(self, transaction: Transaction) -> CommitResult:
-        """Apply `transaction` if all its compares hold."""
+        """Apply `transaction` if all its conditions hold."""
         lease = 0 if transaction.lease is None else transaction.lease.id
         request = {
             "expect": [
@@ -140,14 +147,16 @@
             "remove": list(transaction.deletes),
         }
         status, reply = await self._call("txn", "POST", "/kv-txn", request, write=True)
-        if status == NOT_FOUND:
+        if status == STATUS_NOT_FOUND:
             raise StoreLeaseExpiredError(f"lease {lease} has expired")
-        if status == CONDITION_FAILED:
+        if status == STATUS_CONDITION_FAILED:
             return CommitResult(False, 0)
         try:
-            return CommitResult(True, int(_checked(status, reply)["revision"]))
+            return CommitResult(True, int(_check_reply(status, reply)["revision"]))
         except (KeyError, TypeError, ValueError) as error:
-            raise StoreOutcomeUnknownError(f"commit reply: {error!r}") from error
+            raise StoreOutcomeUnknownError(
+                f"malformed commit reply: {error!r}"
+            ) from error
 
     async def grant_lease(self, ttl_s: float) -> Lease:
         """Create a lease that expires `ttl_s` seconds after its last renewal."""
@@ -155,20 +164,22 @@
         status, reply = await self._call(
             "lease_grant", "POST", "/kv-lease", request, write=True
         )
-        body = _checked(status, reply)
+        body = _check_reply(status, reply)
         try:
             return Lease(int(body["lease"]), body["ttl_ms"] / MILLISECONDS_PER_SECOND)
         except (KeyError, TypeError, ValueError) as error:
-            raise StoreReplyMalformedError(f"lease reply: {error!r}") from error
+            raise StoreReplyMalformedError(
+                f"malformed lease reply: {error!r}"
+            ) from error
 
     async def keep_alive(self, lease: Lease) -> None:
         """Renew `lease`."""
         status, reply = await self._call(
             "lease_keepalive", "POST", f"/kv-keep/{lease.id}", {}, write=True
         )
-        if status == NOT_FOUND:
+        if status == STATUS_NOT_FOUND:
             raise StoreLeaseExpiredError(f"lease {lease.id} has expired")
-        _checked(status, reply)
+        _check_reply(status, reply)
 
     async def end_lease(self, lease: Lease) -> None:
         """Remove `lease` and the keys attached to it."""
@@ -177,7 +188,7 @@
     async def watch(
         self, prefix: str, start_revision: int
     ) -> AsyncGenerator[WatchBatch, None]:
-        """Yield each change under `prefix` from `start_revision` on."""
+        """Yield the changes under `prefix` from `start_revision` on."""
         async with aclosing(
             self.follow(prefix, start_revision, lambda: None)
         ) as batches:
@@ -191,78 +202,85 @@
         start_revision: int,
         wait_s: Callable[[], float | None],
     ) -> AsyncGenerator[WatchBatch, None]:
-        """Yield each change under `prefix`, and a batch without changes now and then.
+        """Yield the changes under `prefix`, and an empty batch after idle calls.
 
-        A call that ends without changes yields a batch without changes. Calls wait for
-        `wait_s` seconds; None stands for as long as the deployment's bounds allow.
+        A watch call that ends without changes yields an empty batch. Each call waits
+        for up to `wait_s()` seconds, or for as long as the limits for applying changes
+        allow if it returns None.
         """
         after = start_revision - 1
-        delay = RETRY_FIRST_S
+        delay = RETRY_DELAY_INITIAL_S
         while True:
-            asked_s = wait_s()
-            waits_s = self._wait_s if asked_s is None else asked_s
+            requested_wait_s = wait_s()
+            call_wait_s = (
+                self._max_wait_s if requested_wait_s is None else requested_wait_s
+            )
             query = {
                 "prefix": prefix,
                 "after": str(after),
-                "wait_ms": str(int(waits_s * MILLISECONDS_PER_SECOND)),
+                "wait_ms": str(int(call_wait_s * MILLISECONDS_PER_SECOND)),
             }
             try:
-                status, answer = await self._watch_once(query, waits_s)
-                if status == COMPACTED:
-                    raise StoreCompactedError(f"changes after {after} are compacted")
-                reply = _checked(status, answer)
-                batches = _batches(reply)
-                reached = int(reply["store_revision"])
+                status, unchecked_reply = await self._call_watch(query, call_wait_s)
+                if status == STATUS_COMPACTED:
+                    raise StoreCompactedError(
+                        f"changes after revision {after} are compacted"
+                    )
+                reply = _check_reply(status, unchecked_reply)
+                batches = _decode_batches(reply)
+                reached_revision = int(reply["store_revision"])
             except (StoreUnavailableError, StoreReplyMalformedError):
                 await asyncio.sleep(delay)
-                delay = min(delay * 2, RETRY_LIMIT_S)
+                delay = min(delay * 2, RETRY_DELAY_MAX_S)
                 continue
             except (KeyError, TypeError, ValueError) as error:
                 self._metrics.count("store_failures", "watch_malformed")
                 emit(Event.STORE_REPLY_MALFORMED, call="watch", error=repr(error))
                 await asyncio.sleep(delay)
                 continue
-            delay = RETRY_FIRST_S
+            delay = RETRY_DELAY_INITIAL_S
             for batch in batches:
                 yield batch
-            after = max(after, reached)
+            after = max(after, reached_revision)
             if batches:
-                await asyncio.sleep(WATCH_PAUSE_S)
+                await asyncio.sleep(WATCH_INTERVAL_S)
             else:
                 yield WatchBatch(after, {}, ())
 
-    async def _watch_once(
-        self, query: Mapping[str, str], waits_s: float
+    async def _call_watch(
+        self, query: Mapping[str, str], call_wait_s: float
     ) -> tuple[int, Any]:
-        """Make one watch call, given up when the store answers again after a failure.
+        """Make one watch call, cancelled when the store recovers from a failure.
 
-        A call that was waiting when the store went away may never be answered.
+        A call that was waiting when the store became unavailable may get no reply.
         """
-        self._regained.clear()
+        self._recovered.clear()
         call = asyncio.ensure_future(
             self._call(
                 "watch",
                 "GET",
                 "/kv-watch",
                 query=query,
-                timeout_s=waits_s + WATCH_MARGIN_S,
+                timeout_s=call_wait_s + WATCH_REPLY_MARGIN_S,
             )
         )
-        regained = asyncio.ensure_future(self._regained.wait())
+        recovered = asyncio.ensure_future(self._recovered.wait())
         try:
-            await asyncio.wait((call, regained), return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait((call, recovered), return_when=asyncio.FIRST_COMPLETED)
             if not call.done():
-                raise StoreUnavailableError("the watch may have been lost")
+                raise StoreUnavailableError(
+                    "watch cancelled: the store recovered from a failure"
+                )
             return call.result()
         finally:
             call.cancel()
-            regained.cancel()
-            # A cancelled call may still end with an error of its own.
-            await asyncio.gather(call, regained, return_exceptions=True)
+            recovered.cancel()
+            # A cancelled call may still raise its own error.
+            await asyncio.gather(call, recovered, return_exceptions=True)
 
     async def _call(
         self,
-        kind: str,
+        call_type: str,
         method: str,
         path: str,
         body: Mapping[str, object] | None = None,
@@ -271,25 +289,30 @@
         write: bool = False,
         timeout_s: float = CALL_TIMEOUT_S,
     ) -> tuple[int, Any]:
-        self._metrics.count("store_calls", kind)
+        self._metrics.count("store_calls", call_type)
         loop = asyncio.get_running_loop()
-        started = loop.time()
+        started_at = loop.time()
         try:
             reply = await self._send(method, path, body, query, write, timeout_s)
         except (StoreUnavailableError, StoreOutcomeUnknownError) as error:
             self._metrics.count("store_failures", error.code)
             if self._failing_since is None:
-                self._failing_since = started
-                emit(Event.STORE_DOWN, url=self._base, call=kind, error=str(error))
+                self._failing_since = started_at
+                emit(
+                    Event.STORE_DOWN,
+                    url=self._base_url,
+                    call=call_type,
+                    error=str(error),
+                )
             raise
         if self._failing_since is not None:
-            away = loop.time() - self._failing_since
+            outage_s = loop.time() - self._failing_since
             self._failing_since = None
-            self._regained_at = loop.time()
-            self._regained.set()
-            emit(Event.STORE_UP, url=self._base, away_s=round(away, 3))
-        if kind != "watch":
-            self._metrics.observe("store_call", loop.time() - started)
+            self._recovered_at = loop.time()
+            self._recovered.set()
+            emit(Event.STORE_UP, url=self._base_url, away_s=round(outage_s, 3))
+        if call_type != "watch":
+            self._metrics.observe("store_call", loop.time() - started_at)
         return reply
 
     async def _send(
@@ -302,9 +325,9 @@
         timeout_s: float,
     ) -> tuple[int, Any]:
         try:
-            async with self._open().request(
+            async with self._open_session().request(
                 method,
-                self._base + path,
+                self._base_url + path,
                 params=query,
                 data=None if body is None else orjson.dumps(body),
                 headers={"Content-Type": "application/json"} if body else None,
@@ -317,22 +340,22 @@
                 status = response.status
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
             raise StoreUnavailableError(
-                f"no connection to the store: {error!r}"
+                f"cannot connect to the store: {error!r}"
             ) from error
         except (aiohttp.ClientError, TimeoutError, OSError) as error:
             if write:
                 raise StoreOutcomeUnknownError(f"reply lost: {error!r}") from error
             raise StoreUnavailableError(f"read failed: {error!r}") from error
-        if status in NOT_DONE:
-            raise StoreUnavailableError(f"status {status}")
+        if status in NOT_APPLIED_STATUSES:
+            raise StoreUnavailableError(f"store refused the call with status {status}")
         try:
             return status, orjson.loads(data) if data else {}
         except orjson.JSONDecodeError as error:
             if write:
-                raise StoreOutcomeUnknownError(f"reply: {error}") from error
-            raise StoreUnavailableError(f"reply: {error}") from error
+                raise StoreOutcomeUnknownError(f"reply is not JSON: {error}") from error
+            raise StoreUnavailableError(f"reply is not JSON: {error}") from error
 
-    def _open(self) -> aiohttp.ClientSession:
+    def _open_session(self) -> aiohttp.ClientSession:
         if self._session is None:
             self._session = aiohttp.ClientSession(
                 connector=aiohttp.TCPConnector(limit=0, socket_factory=open_socket)
@@ -340,28 +363,30 @@
         return self._session
 
 
-def _checked(status: int, reply: Any) -> Mapping[str, Any]:
-    if status != OK or not isinstance(reply, dict):
-        raise StoreReplyMalformedError(f"status {status}, reply {reply!r:.200}")
+def _check_reply(status: int, reply: Any) -> Mapping[str, Any]:
+    if status != STATUS_OK or not isinstance(reply, dict):
+        raise StoreReplyMalformedError(
+            f"unexpected reply with status {status}: {reply!r:.200}"
+        )
     return reply
 
 
-def _stored(item: Mapping[str, Any]) -> tuple[str, StoredValue]:
+def _decode_item(item: Mapping[str, Any]) -> tuple[str, StoredValue]:
     try:
         value = b64decode(item["value"], validate=True)
         return str(item["key"]), StoredValue(value, int(item["revision"]))
     except (KeyError, TypeError, ValueError) as error:
-        raise StoreReplyMalformedError(f"item: {error!r}") from error
+        raise StoreReplyMalformedError(f"malformed item: {error!r}") from error
 
 
-def _batches(reply: Mapping[str, Any]) -> list[WatchBatch]:
+def _decode_batches(reply: Mapping[str, Any]) -> list[WatchBatch]:
     puts: dict[int, dict[str, StoredValue]] = {}
     deletes: dict[int, list[str]] = {}
     for event in reply["events"]:
         if event.get("deleted"):
             deletes.setdefault(int(event["revision"]), []).append(str(event["key"]))
         else:
-            key, value = _stored(event)
+            key, value = _decode_item(event)
             puts.setdefault(value.mod_revision, {})[key] = value
     return [
         WatchBatch(revision, puts.get(revision, {}), tuple(deletes.get(revision, ())))
--- a/borageworks/platform/tests/test_decoding.py
+++ b/borageworks/platform/tests/test_decoding.py
@@ -1,4 +1,4 @@
-"""Tests of the adapter's translations."""
+"""Tests for the codec of the platform's protocol."""
 
 import re
 from pathlib import Path
@@ -18,11 +18,11 @@
 )
 from borageworks.gateway.route import Repeat
 from borageworks.placement.memory_news import KeptPart
-from borageworks.platform.answers import decode_answer
 from borageworks.platform.configuration import decode_configuration
 from borageworks.platform.engine_memory import decode_events, decode_list
 from borageworks.platform.entries import decode_entry
 from borageworks.platform.requests import decode_request, forwarded_headers
+from borageworks.platform.responses import decode_response_head
 from borageworks.platform.settings import parse_settings
 from borageworks_emulator.platform.harness import configuration, settings_text
 
@@ -58,31 +58,31 @@
     def text(self):
         return settings_text(("10.0.0.9", 8781), [1, 2, 3, 4])
 
-    def test_fields_are_decoded_and_unknown_ones_ignored(self):
-        """Guards against units that are mixed up, and new fields that stop a start."""
-        found = parse_settings(self.text())
-        self.assertEqual(("edge-1", "zone-a"), (found.instance, found.domain))
-        self.assertEqual(("127.0.0.1", 1), found.callers)
-        self.assertEqual((3.0, 2.0), (found.contact_s, found.apply_s))
-        self.assertEqual(8.0, found.shutdown_s)
-        self.assertEqual(4, found.peer_port)
-
-    def test_every_fault_is_named_at_once(self):
-        """Guards against an operator who mends one field a start."""
+    def test_known_fields_are_decoded_and_unknown_ones_ignored(self):
+        """Guards against wrong units and against new fields that prevent a start."""
+        decoded = parse_settings(self.text())
+        self.assertEqual(("edge-1", "zone-a"), (decoded.instance, decoded.domain))
+        self.assertEqual(("127.0.0.1", 1), decoded.callers)
+        self.assertEqual((3.0, 2.0), (decoded.contact_s, decoded.apply_s))
+        self.assertEqual(8.0, decoded.shutdown_s)
+        self.assertEqual(4, decoded.peer_port)
+
+    def test_all_invalid_fields_are_reported_at_once(self):
+        """Guards against reporting only one invalid field for each start."""
         text = self.text().replace("zone=zone-a\n", "")
         text = text.replace("bounds.grace_s=8", "bounds.grace_s=-1")
         error = self.assertRaises(SettingsInvalidError, parse_settings, text)
-        named = " ".join(error.reasons)
-        self.assertIn("zone", named)
-        self.assertIn("bounds.grace_s", named)
+        reasons = " ".join(error.reasons)
+        self.assertIn("zone", reasons)
+        self.assertIn("bounds.grace_s", reasons)
 
-    def test_lines_without_a_value_are_named(self):
-        """Guards against a cut file that is taken for a whole one."""
+    def test_lines_without_a_value_are_reported(self):
+        """Guards against accepting a truncated file."""
         error = self.assertRaises(SettingsInvalidError, parse_settings, "node_name")
         self.assertEqual(("line 1: no '='",), error.reasons)
 
-    def test_any_text_gives_settings_or_a_typed_error(self):
-        """Guards against a traceback at start."""
+    def test_arbitrary_text_raises_a_typed_error(self):
+        """Guards against an unhandled exception at start."""
 
         @SETTINGS
         @given(st.text(max_size=80))
@@ -93,10 +93,10 @@
 
 
 class ConfigurationTest(TestCase):
-    def test_what_may_be_repeated_follows_the_kind(self):
-        """Guards against repeating a route that must run once."""
+    def test_repeat_policy_follows_the_route_type(self):
+        """Guards against repeating requests of a non-idempotent route."""
         deployment = decode_configuration(orjson.dumps(configuration()))
-        kinds = {item.name: (item.repeat, item.stream) for item in deployment.routes}
+        policies = {item.name: (item.repeat, item.stream) for item in deployment.routes}
         self.assertEqual(
             {
                 "resume": (Repeat.RESUME, True),
@@ -105,19 +105,19 @@
                 "look": (Repeat.WHOLE, False),
                 "open": (Repeat.WHOLE, False),
             },
-            kinds,
+            policies,
         )
         assert deployment.organisations is not None
         self.assertEqual("workshop", deployment.organisations["key-1"].name)
 
-    def test_without_organisations_no_key_is_needed(self):
-        """Guards against refusing everybody on a deployment without keys."""
+    def test_no_key_is_needed_without_organisations(self):
+        """Guards against refusing all callers in a deployment without API keys."""
         body = configuration()
         del body["tenants"]
         self.assertIsNone(decode_configuration(orjson.dumps(body)).organisations)
 
-    def test_any_json_gives_a_deployment_or_a_typed_error(self):
-        """Guards against a configuration that ends the process."""
+    def test_arbitrary_json_raises_a_typed_error(self):
+        """Guards against a configuration that crashes the process."""
 
         @SETTINGS
         @given(JSON, st.binary(max_size=20))
@@ -131,14 +131,16 @@
 
 class EntryTest(TestCase):
     def test_entry_is_decoded(self):
-        """Guards against endpoints whose restart goes unnoticed."""
+        """Guards against an endpoint restart that is not detected."""
         data = orjson.dumps({**ENTRY, "born": 17, "extra": {}})
-        found = decode_entry("servers/i-1", data)
-        self.assertEqual(("i-1", "10.0.0.1", 80), (found.id, found.host, found.port))
-        self.assertEqual((False, "i-1/17"), (found.leaving, found.incarnation))
+        decoded = decode_entry("servers/i-1", data)
+        self.assertEqual(
+            ("i-1", "10.0.0.1", 80), (decoded.id, decoded.host, decoded.port)
+        )
+        self.assertEqual((False, "i-1/17"), (decoded.leaving, decoded.incarnation))
 
-    def test_foreign_entries_name_no_endpoint(self):
-        """Guards against sending requests where another writer says."""
+    def test_invalid_entries_are_rejected(self):
+        """Guards against sending requests to addresses that another writer stored."""
         changes: list[dict[str, object]] = [
             {"state": "asleep"},
             {"slots": "4"},
@@ -157,8 +159,8 @@
                 orjson.dumps({**ENTRY, **change}),
             )
 
-    def test_any_bytes_give_an_endpoint_or_a_typed_error(self):
-        """Guards against an entry that ends the process."""
+    def test_arbitrary_bytes_give_an_endpoint_or_a_typed_error(self):
+        """Guards against an entry that crashes the process."""
 
         @SETTINGS
         @given(JSON, st.sampled_from(sorted(ENTRY)), st.binary(max_size=20))
@@ -174,9 +176,9 @@
 
 
 class RequestTest(TestCase):
-    def test_prompt_is_decoded_up_to_the_first_bad_part(self):
-        """Guards against counting parts behind one that is unknown."""
-        call = decode_request(
+    def test_prompt_is_decoded_up_to_the_first_malformed_part(self):
+        """Guards against counting parts after one that is malformed."""
+        request = decode_request(
             "POST",
             "/a/b?c=/d/",
             headers(
@@ -186,13 +188,17 @@
                 X_Borageworks_Model="m",
             ),
         )
-        self.assertEqual(("api.example", "/a/b"), (call.host, call.path))
-        assert call.prompt is not None
-        self.assertEqual([("aa", 800)], [(p.id, p.tokens) for p in call.prompt.parts])
-        self.assertEqual((1460, 80), (call.prompt.tokens, call.prompt.generated_tokens))
+        self.assertEqual(("api.example", "/a/b"), (request.host, request.path))
+        assert request.prompt is not None
+        self.assertEqual(
+            [("aa", 800)], [(p.id, p.tokens) for p in request.prompt.parts]
+        )
+        self.assertEqual(
+            (1460, 80), (request.prompt.tokens, request.prompt.generated_tokens)
+        )
 
-    def test_any_header_value_is_decoded(self):
-        """Guards against a traceback for odd headers of a caller."""
+    def test_arbitrary_header_values_are_accepted(self):
+        """Guards against an unhandled exception on malformed headers of a caller."""
 
         @SETTINGS
         @given(*[st.text(max_size=12)] * 4)
@@ -210,9 +216,9 @@
 
         check()
 
-    def test_only_the_routers_own_values_reach_the_endpoint(self):
+    def test_callers_cannot_set_reserved_headers(self):
         """Guards against callers that choose their organisation or endpoint."""
-        call = decode_request(
+        request = decode_request(
             "GET",
             "/",
             headers(
@@ -227,7 +233,7 @@
                 X_Kept="yes",
             ),
         )
-        found = dict(forwarded_headers(call, "h", "org", "i-1", 1.5, 9))
+        forwarded = dict(forwarded_headers(request, "h", "org", "i-1", 1.5, 9))
         self.assertEqual(
             {
                 "Host": "h",
@@ -237,22 +243,22 @@
                 "X-Borageworks-Tenant": "org",
                 "Last-Event-Id": "9",
             },
-            found,
+            forwarded,
         )
 
 
-class AnswerTest(TestCase):
-    def test_only_the_endpoints_word_says_not_run(self):
-        """Guards against taking a status for a promise."""
-        self.assertFalse(decode_answer(503, headers()).not_run)
-        said = headers(X_Borageworks_Not_Executed="1")
-        self.assertTrue(decode_answer(503, said).not_run)
-        self.assertTrue(decode_answer(421, headers()).other_endpoint)
+class ResponseHeadTest(TestCase):
+    def test_not_run_requires_an_explicit_statement(self):
+        """Guards against taking status 503 as proof that the request did not run."""
+        self.assertFalse(decode_response_head(503, headers()).not_run)
+        not_executed = headers(X_Borageworks_Not_Executed="1")
+        self.assertTrue(decode_response_head(503, not_executed).not_run)
+        self.assertTrue(decode_response_head(421, headers()).other_endpoint)
 
 
 class EngineMemoryTest(TestCase):
     def test_rows_are_decoded(self):
-        """Guards against rows that are read in the wrong order."""
+        """Guards against reading columns in the wrong order."""
         events = orjson.dumps(
             {
                 "epoch": "e",
@@ -261,15 +267,17 @@
                 "events": [[7, "+", "", "aa", 10, "m"], [8, "-", "", "bb", 5, "m"]],
             }
         )
-        news = decode_events(events)
-        self.assertEqual((KeptPart("aa", 10, "m"), KeptPart("bb", 0, "m")), news.parts)
-        held = {"epoch": "e", "next": 9, "held": [["", "aa", 10, "m"]]}
+        memory_update = decode_events(events)
+        self.assertEqual(
+            (KeptPart("aa", 10, "m"), KeptPart("bb", 0, "m")), memory_update.parts
+        )
+        listing = {"epoch": "e", "next": 9, "held": [["", "aa", 10, "m"]]}
         self.assertEqual(
-            (KeptPart("aa", 10, "m"),), decode_list(orjson.dumps(held)).parts
+            (KeptPart("aa", 10, "m"),), decode_list(orjson.dumps(listing)).parts
         )
 
-    def test_any_bytes_give_news_or_a_typed_error(self):
-        """Guards against an engine that ends the process."""
+    def test_arbitrary_bytes_give_an_update_or_a_typed_error(self):
+        """Guards against a response of an engine that crashes the process."""
 
         @SETTINGS
         @given(JSON, st.binary(max_size=20))
@@ -287,18 +295,18 @@
 
 
 class BoundaryTest(TestCase):
-    def test_only_the_adapter_knows_the_platforms_names(self):
-        """Guards against names of the platform in the product."""
+    def test_protocol_names_are_used_only_by_the_platform_package(self):
+        """Guards against protocol names of the platform in other packages."""
         root = Path(borageworks.__file__).parent
-        words = re.compile(
+        protocol_patterns = re.compile(
             r"X-Borageworks-|kv-(key|range|watch|txn|lease|keep|events|list)"
             r"|route_type|api_keys|max_attempts\"|Kv-From|op/config|servers/|hostname"
         )
-        found = [
+        occurrences = [
             f"{path.relative_to(root)}: {line.strip()}"
             for path in root.rglob("*.py")
             if "tests" not in path.parts and path.parent.name != "platform"
             for line in path.read_text().splitlines()
-            if words.search(line)
+            if protocol_patterns.search(line)
         ]
-        self.assertEqual([], found)
+        self.assertEqual([], occurrences)
--- a/borageworks/platform/tests/test_start.py
+++ b/borageworks/platform/tests/test_start.py
@@ -1,29 +1,29 @@
-"""Tests of the start of the program."""
+"""Tests for the entry point."""
 
 import subprocess
 import sys
 
 from testtools import TestCase
 
-# Stands for the program, and gets the signal while it is imported.
-PROGRAM = """
+# Replaces the program by a module that sends SIGHUP when `main` is imported from it.
+START_SCRIPT = """
 import os, signal, sys, types
 
-class Program(types.ModuleType):
+class SignallingModule(types.ModuleType):
     def __getattr__(self, name):
         os.kill(os.getpid(), signal.SIGHUP)
         return lambda: print("runs")
 
-sys.modules["borageworks.platform.main"] = Program("main")
+sys.modules["borageworks.platform.main"] = SignallingModule("main")
 from borageworks.platform.start import main
 main()
 """
 
 
 class StartTest(TestCase):
-    def test_announced_settings_do_not_end_a_process_that_starts(self):
-        """Guards against an end by SIGHUP before the program listens for it."""
-        done = subprocess.run(
-            [sys.executable, "-c", PROGRAM], capture_output=True, timeout=30
+    def test_sighup_during_start_does_not_terminate_the_process(self):
+        """Guards against termination by SIGHUP before its handler is installed."""
+        completed = subprocess.run(
+            [sys.executable, "-c", START_SCRIPT], capture_output=True, timeout=30
         )
-        self.assertEqual((0, b"runs\n"), (done.returncode, done.stdout))
+        self.assertEqual((0, b"runs\n"), (completed.returncode, completed.stdout))
--- a/borageworks/platform/tests/test_store_watch.py
+++ b/borageworks/platform/tests/test_store_watch.py
@@ -1,4 +1,4 @@
-"""Tests of watches that are given up."""
+"""Tests for cancelled watch calls."""
 
 import asyncio
 import gc
@@ -11,33 +11,35 @@
 from borageworks.platform.store import PlatformStore
 
 
-class GivenUpWatchTest(TestCase):
-    def test_failure_of_a_watch_that_is_given_up_is_no_stray_error(self):
-        """Guards against tracebacks in the log after each outage of the store."""
+class CancelledWatchTest(TestCase):
+    def test_error_of_a_cancelled_watch_call_is_retrieved(self):
+        """Guards against tracebacks in the log after an outage of the store."""
 
-        async def main():
-            stray = []
+        async def scenario():
+            unhandled_errors = []
             loop = asyncio.get_running_loop()
-            loop.set_exception_handler(lambda _loop, context: stray.append(context))
+            loop.set_exception_handler(
+                lambda _loop, context: unhandled_errors.append(context)
+            )
             store = PlatformStore(GATEWAY, Metrics())
 
-            async def call(*_arguments, **_options):
+            async def failing_call(*_arguments, **_options):
                 try:
                     await asyncio.sleep(60)
                 except asyncio.CancelledError:
                     raise StoreUnavailableError("read failed") from None
 
-            store._call = call  # type: ignore[method-assign]
-            watch = asyncio.ensure_future(store._watch_once({}, 1.0))
+            store._call = failing_call  # type: ignore[method-assign]
+            watch = asyncio.ensure_future(store._call_watch({}, 1.0))
             await asyncio.sleep(0)
             await asyncio.sleep(0)
-            store._regained.set()
+            store._recovered.set()
             with self.assertRaises(StoreUnavailableError):
                 await watch
             del watch
             for _ in range(5):
                 await asyncio.sleep(0)
             gc.collect()
-            return stray
+            return unhandled_errors
 
-        self.assertEqual([], asyncio.run(main()))
+        self.assertEqual([], asyncio.run(scenario()))
