--- a/borageworks/membership/actions.py
+++ b/borageworks/membership/actions.py
@@ -1,4 +1,4 @@
-"""Actions that the membership state machine asks its shell to execute."""
+"""Actions that the membership state machine returns for its caller to execute."""
 
 from __future__ import annotations
 
@@ -26,11 +26,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class DomainReachable:
-    """Another domain can be reached again, or no longer."""
+class ReachabilityChanged:
+    """Another domain has become reachable or unreachable."""
 
     domain: str
     reachable: bool
 
 
-Action = SendTo | MemberChanged | DomainReachable
+Action = SendTo | MemberChanged | ReachabilityChanged
--- a/borageworks/membership/domain_view.py
+++ b/borageworks/membership/domain_view.py
@@ -1,4 +1,4 @@
-"""Which other domains can be reached from the own domain."""
+"""Reachability of other failure domains from the own domain."""
 
 from __future__ import annotations
 
@@ -6,10 +6,10 @@
 
 import xxhash
 
-from borageworks.membership.actions import DomainReachable
+from borageworks.membership.actions import ReachabilityChanged
 from borageworks.wire.messages import MemberState, MemberUpdate
 
-BRIDGES = 2  # members per domain that probe another domain
+BRIDGE_COUNT = 2  # members per domain that probe another domain
 SUMMARY_PREFIX = "@"  # not allowed in an instance id
 
 
@@ -19,16 +19,17 @@
 
 
 class DomainView:
-    """Chooses the bridges to other domains and combines their summaries.
+    """Assigns bridges to other domains and combines their summaries.
 
-    A bridge reports changes of what it observes as a summary: an update whose instance
-    is the bridge's id after a prefix, whose domain is the observed one, and whose
-    incarnation is a version. A domain can be reached if any of its bridges says so.
+    A bridge is a member that probes another domain on behalf of its own. It reports
+    each change of reachability as a summary: an update whose instance is the bridge's
+    id after a prefix, whose domain is the probed one, and whose incarnation is a
+    version. A domain is reachable if at least one of its bridges reports it as such.
 
     Parameters
     ----------
     instance, domain
-        The instance itself.
+        Id and failure domain of the local instance.
     """
 
     def __init__(self, instance: str, domain: str) -> None:
@@ -40,7 +41,7 @@
 
     @property
     def unreachable(self) -> frozenset[str]:
-        """Domains that cannot be reached."""
+        """Domains that are unreachable."""
         return frozenset(self._unreachable)
 
     @property
@@ -48,24 +49,24 @@
         """Latest summary of each bridge and domain."""
         return self._summaries.values()
 
-    def bridged(self) -> list[str]:
-        """Return the domains to which the instance itself is a bridge."""
+    def bridged_domains(self) -> list[str]:
+        """Return the domains that the local instance probes as a bridge."""
         return [
             domain
             for domain, bridges in self._bridges.items()
             if self._instance in bridges
         ]
 
-    def choose(self, members: Sequence[str], domains: Iterable[str]) -> None:
-        """Choose the bridges to each domain among members of the own domain."""
+    def assign_bridges(self, members: Sequence[str], domains: Iterable[str]) -> None:
+        """Assign members of the own domain as bridges, by rendezvous hash."""
         self._bridges = {
-            domain: tuple(sorted(members, key=self._weight(domain))[:BRIDGES])
+            domain: tuple(sorted(members, key=self._weight(domain))[:BRIDGE_COUNT])
             for domain in domains
             if domain != self._domain
         }
 
-    def summarise(self, domain: str, reachable: bool, version: int) -> MemberUpdate:
-        """Return a summary that is newer than all earlier ones of the instance."""
+    def make_summary(self, domain: str, reachable: bool, version: int) -> MemberUpdate:
+        """Return a summary whose version exceeds all earlier ones of the instance."""
         known = self._summaries.get((self._instance, domain))
         if known is not None:
             version = max(version, known.incarnation + 1)
@@ -73,8 +74,8 @@
         instance = SUMMARY_PREFIX + self._instance
         return MemberUpdate(instance, domain, "", 0, 0, version, state)
 
-    def hear(self, summary: MemberUpdate) -> bool:
-        """Take a summary; return whether it is new."""
+    def apply_summary(self, summary: MemberUpdate) -> bool:
+        """Store a summary unless it is outdated; return whether it was stored."""
         key = (summary.instance[len(SUMMARY_PREFIX) :], summary.domain)
         known = self._summaries.get(key)
         if known is not None and known.incarnation >= summary.incarnation:
@@ -82,28 +83,28 @@
         self._summaries[key] = summary
         return True
 
-    def forget(self, instance: str) -> None:
-        """Forget the summaries of a member that is gone."""
+    def remove_member(self, instance: str) -> None:
+        """Remove the summaries of a member."""
         for key in [key for key in self._summaries if key[0] == instance]:
             del self._summaries[key]
 
-    def review(self) -> list[DomainReachable]:
-        """Return the domains whose reachability has changed."""
-        changed: list[DomainReachable] = []
+    def update_reachability(self) -> list[ReachabilityChanged]:
+        """Update the unreachable domains; return those that have changed."""
+        changed: list[ReachabilityChanged] = []
         for domain, bridges in self._bridges.items():
-            verdicts = [
+            reports = [
                 summary.state is MemberState.ALIVE
                 for bridge in bridges
                 if (summary := self._summaries.get((bridge, domain))) is not None
             ]
-            # New bridges have not said anything yet.
-            if verdicts and any(verdicts) == (domain in self._unreachable):
+            # A newly assigned bridge has not sent a summary yet.
+            if reports and any(reports) == (domain in self._unreachable):
                 self._unreachable ^= {domain}
-                changed.append(DomainReachable(domain, any(verdicts)))
+                changed.append(ReachabilityChanged(domain, any(reports)))
         return changed
 
     def digest(self, live: Collection[str]) -> int:
-        """Return a hash of the summaries of live bridges, in no order."""
+        """Return an order-independent hash of the summaries of live bridges."""
         digest = 0
         for (bridge, domain), summary in self._summaries.items():
             if bridge in live or bridge == self._instance:
--- a/borageworks/membership/gossip.py
+++ b/borageworks/membership/gossip.py
@@ -1,4 +1,4 @@
-"""UDP shell of the membership state machine."""
+"""UDP transport of the membership state machine."""
 
 from __future__ import annotations
 
@@ -19,12 +19,12 @@
 from borageworks.membership.actions import (
     Action,
     Address,
-    DomainReachable,
     MemberChanged,
+    ReachabilityChanged,
     SendTo,
 )
 from borageworks.membership.member import Member
-from borageworks.membership.membership import PACKET_BYTES, Datagram, Membership
+from borageworks.membership.membership import MAX_PACKET_BYTES, Datagram, Membership
 from borageworks.metrics import Metrics
 from borageworks.timers import Subscription, Timers
 from borageworks.wire.authenticator import CODE_BYTES, Authenticator
@@ -32,10 +32,10 @@
 from borageworks.wire.messages import Ack, MemberState, MemberUpdate, Ping, PingRequest
 
 UDP_HEADER_BYTES = 28  # IPv4 (20) and UDP (8)
-CONTEXT = b"gossip"
-TICKS_PER_TIMEOUT = 3
-TICKS_PER_INTERVAL = 10
-REJECTION_LOG_INTERVAL_S = 1.0  # a flood of forged datagrams must not fill the log
+AUTHENTICATION_CONTEXT = b"gossip"
+TICKS_PER_PROBE_TIMEOUT = 3
+TICKS_PER_PROBE_INTERVAL = 10
+REJECTION_LOG_INTERVAL_S = 1.0  # bounds the log volume of a flood of forged datagrams
 NANOSECONDS_PER_MILLISECOND = 1_000_000
 
 
@@ -45,10 +45,10 @@
     Parameters
     ----------
     settings
-        Settings of the instance; `gossip` is the address to bind, which is also the
-        address that other instances are told.
+        Settings of the instance; `gossip` is the address to bind, which is also
+        advertised to other instances.
     incarnation
-        Milliseconds of the wall clock when the process started.
+        Start time of the process, in milliseconds of the wall clock.
     timers
         Timers of the process.
     metrics
@@ -62,7 +62,7 @@
     on_member
         Called with each new or changed member, the instance itself included.
     on_domain
-        Called with a domain and whether it can be reached, when that changes.
+        Called with a domain and whether it is reachable, when that changes.
     on_catalog_version
         Called with instance, revision and hash for each datagram that carries them.
     on_paused
@@ -94,15 +94,15 @@
         self._on_paused = on_paused
         self._authenticator = Authenticator(settings.membership.keys)
         self._transport: asyncio.DatagramTransport | None = None
-        self._ticks: Subscription | None = None
-        self._last_tick = timers.now()
-        self._next_rejection_log = 0.0
+        self._tick_subscription: Subscription | None = None
+        self._last_tick_at = timers.now()
+        self._next_rejection_log_at = 0.0
         self._bytes_sent = 0
         self._bytes_received = 0
-        self._make = functools.partial(
-            self._make_membership, incarnation, rng, peer_address[1], catalog_version
+        self._create_membership_at = functools.partial(
+            self._create_membership, incarnation, rng, peer_address[1], catalog_version
         )
-        self._membership = self._make(settings.gossip.pair)
+        self._membership = self._create_membership_at(settings.gossip.pair)
 
     @property
     def address(self) -> Address:
@@ -117,17 +117,17 @@
 
     @property
     def members(self) -> Mapping[str, Member]:
-        """All known members by id, with the instance itself and the remembered dead."""
+        """Known members by id, including the instance itself and recent dead ones."""
         return self._membership.members
 
     @property
     def unreachable_domains(self) -> frozenset[str]:
-        """Other domains of which no probed member answers."""
+        """Other domains in which no probed member responds."""
         return self._membership.unreachable_domains
 
     @property
     def confirmed(self) -> bool:
-        """Whether the instance may own endpoints: others see it as running."""
+        """Whether the instance may own endpoints: it is confirmed and not paused."""
         return self._membership.confirmed and not self._is_paused()
 
     @property
@@ -141,54 +141,54 @@
         return self._bytes_received
 
     async def start(self) -> None:
-        """Bind the socket and begin to probe."""
+        """Bind the socket and start probing."""
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(
             lambda: self, local_addr=self._settings.gossip.pair
         )
         host, port = transport.get_extra_info("sockname")[:2]
         if port != self._settings.gossip.port:
-            self._membership = self._make((str(host), int(port)))
+            self._membership = self._create_membership_at((str(host), int(port)))
         membership = self._settings.membership
-        self._last_tick = self._timers.now()
-        self._ticks = self._timers.every(
+        self._last_tick_at = self._timers.now()
+        self._tick_subscription = self._timers.every(
             min(
-                membership.probe_timeout_s / TICKS_PER_TIMEOUT,
-                membership.probe_interval_s / TICKS_PER_INTERVAL,
+                membership.probe_timeout_s / TICKS_PER_PROBE_TIMEOUT,
+                membership.probe_interval_s / TICKS_PER_PROBE_INTERVAL,
             ),
             lambda _now: self._tick(),
         )
         self._tick()
 
     async def stop(self) -> None:
-        """Close the socket; after `leave`, tell others that the instance is gone."""
-        if self._ticks is not None:
-            self._ticks.cancel()
+        """Close the socket; after `leave`, announce the stop first."""
+        if self._tick_subscription is not None:
+            self._tick_subscription.cancel()
         if self._membership.own.state is MemberState.LEAVING:
             self._execute(self._membership.depart(self._timers.now()))
         if self._transport is not None:
             self._transport.close()
 
     def leave(self) -> None:
-        """Tell others that the instance is about to stop."""
+        """Announce that the instance is about to stop."""
         self._execute(self._membership.leave(self._timers.now()))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the bound socket."""
+        """Store the transport of the bound socket."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Take one datagram."""
+        """Process one datagram."""
         self._bytes_received += len(data) + UDP_HEADER_BYTES
-        self._notice_pause()
+        self._handle_pause()
         try:
-            message = self._open(data)
+            message = self._verify_and_decode(data)
         except (MessageMalformedError, MessageUnauthenticError) as error:
             self._reject(error, addr)
             return
         source = (addr[0], addr[1])
         if source != (message.sender.host, message.sender.port):
-            # A copy that is replayed from another address.
+            # A copy replayed from another address.
             self._metrics.count("gossip_rejected", "source_mismatch")
             return
         self._execute(self._membership.receive(self._timers.now(), message, source))
@@ -198,10 +198,10 @@
             )
 
     def error_received(self, exc: Exception) -> None:
-        """Count an error that the network reports; probes notice it by themselves."""
+        """Count a socket error; failed probes detect the cause."""
         self._metrics.count("gossip_errors")
 
-    def _make_membership(
+    def _create_membership(
         self,
         incarnation: int,
         rng: random.Random,
@@ -220,42 +220,46 @@
         return Membership(self._settings, incarnation, rng, own, catalog_version)
 
     def _is_paused(self) -> bool:
-        elapsed = self._timers.now() - self._last_tick
+        elapsed = self._timers.now() - self._last_tick_at
         return elapsed > self._settings.membership.pause_limit_s
 
-    def _notice_pause(self) -> None:
+    def _handle_pause(self) -> None:
         if not self._is_paused():
             return
         now = self._timers.now()
-        elapsed, self._last_tick = now - self._last_tick, now
+        elapsed, self._last_tick_at = now - self._last_tick_at, now
         self._metrics.count("pauses")
         emit(Event.INSTANCE_PAUSED, seconds=elapsed)
-        milliseconds = time.time_ns() // NANOSECONDS_PER_MILLISECOND
-        actions = self._membership.renew(now, milliseconds)
+        incarnation = time.time_ns() // NANOSECONDS_PER_MILLISECOND
+        actions = self._membership.rejoin(now, incarnation)
         self._on_paused()
         self._execute(actions)
 
     def _tick(self) -> None:
-        self._notice_pause()
-        self._last_tick = self._timers.now()
-        self._execute(self._membership.tick(self._last_tick))
+        self._handle_pause()
+        self._last_tick_at = self._timers.now()
+        self._execute(self._membership.tick(self._last_tick_at))
 
-    def _open(self, data: bytes) -> Datagram:
-        if len(data) > PACKET_BYTES:
-            raise MessageMalformedError(f"datagram of {len(data)} bytes is too long")
+    def _verify_and_decode(self, data: bytes) -> Datagram:
+        if len(data) > MAX_PACKET_BYTES:
+            raise MessageMalformedError(
+                f"datagram of {len(data)} bytes exceeds the maximum"
+            )
         body = data[:-CODE_BYTES]
-        self._authenticator.verify(CONTEXT, body, data[-CODE_BYTES:])
+        self._authenticator.verify(AUTHENTICATION_CONTEXT, body, data[-CODE_BYTES:])
         match decode(body):
             case [Ping() | PingRequest() | Ack() as message]:
                 return message
-        raise MessageMalformedError("datagram does not hold one membership message")
+        raise MessageMalformedError(
+            "datagram must contain exactly one membership message"
+        )
 
     def _reject(self, error: BorageworksError, addr: tuple[str, int]) -> None:
         self._metrics.count("gossip_rejected", error.code)
         now = self._timers.now()
-        if now < self._next_rejection_log:
+        if now < self._next_rejection_log_at:
             return
-        self._next_rejection_log = now + REJECTION_LOG_INTERVAL_S
+        self._next_rejection_log_at = now + REJECTION_LOG_INTERVAL_S
         emit(
             Event.PEER_REJECTED,
             instance=None,
@@ -278,7 +282,7 @@
                         incarnation=member.incarnation,
                     )
                     self._on_member(member)
-                case DomainReachable(domain=domain, reachable=reachable):
+                case ReachabilityChanged(domain=domain, reachable=reachable):
                     emit(Event.DOMAIN_REACHABILITY, domain=domain, reachable=reachable)
                     self._on_domain(domain, reachable)
 
@@ -286,8 +290,8 @@
         if self._transport is None or self._transport.is_closing():
             return
         body = encode((message,))
-        data = body + self._authenticator.sign(CONTEXT, body)
-        if len(data) > PACKET_BYTES:
+        data = body + self._authenticator.sign(AUTHENTICATION_CONTEXT, body)
+        if len(data) > MAX_PACKET_BYTES:
             self._metrics.count("gossip_dropped", "too_large")
             return
         self._bytes_sent += len(data) + UDP_HEADER_BYTES
--- a/borageworks/membership/member.py
+++ b/borageworks/membership/member.py
@@ -9,10 +9,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One instance as the local instance knows it.
+    """State of one instance as known to the local instance.
 
     `port` receives membership datagrams, `peer_port` accepts links. The incarnation
-    rises when the process restarts and when it refutes a suspicion.
+    increases when the process restarts, refutes a suspicion or resumes from a pause.
     """
 
     id: str
--- a/borageworks/membership/tests/network.py
+++ b/borageworks/membership/tests/network.py
@@ -1,4 +1,4 @@
-"""Members that exchange messages in memory, over a network that can be broken."""
+"""Simulated members that exchange messages over a network with injected faults."""
 
 import random
 from collections.abc import Callable, Mapping
@@ -8,8 +8,8 @@
 from borageworks.membership.actions import (
     Action,
     Address,
-    DomainReachable,
     MemberChanged,
+    ReachabilityChanged,
     SendTo,
 )
 from borageworks.membership.membership import Datagram, Membership
@@ -18,23 +18,23 @@
 
 KEY = "11" * 32
 STEP_S = 0.1
-FIRST_INCARNATION = 1_000_000
-RESTART_INCARNATIONS = 100_000
+INITIAL_INCARNATION = 1_000_000
+INCARNATION_STEP = 100_000
 
 
 def make_settings(
     instance: str, domain: str, address: Address, **membership: Any
 ) -> Settings:
-    """Return settings of one instance."""
+    """Return the settings of one instance."""
     host, port = address
-    place = {"host": host, "port": port}
+    address_settings = {"host": host, "port": port}
     return Settings.model_validate(
         {
             "instance": instance,
             "domain": domain,
-            "listen": place,
-            "gossip": place,
-            "peer": place,
+            "listen": address_settings,
+            "gossip": address_settings,
+            "peer": address_settings,
             "store": {"url": "http://127.0.0.1:1"},
             "membership": {"keys": [KEY]} | membership,
         }
@@ -44,7 +44,7 @@
 def make_update(
     instance: str,
     domain: str = "d0",
-    incarnation: int = FIRST_INCARNATION,
+    incarnation: int = INITIAL_INCARNATION,
     state: MemberState = MemberState.ALIVE,
     host: str = "10.0.0.1",
     port: int = 7946,
@@ -54,7 +54,7 @@
 
 
 class Network:
-    """Simulated network; `link` says whether a datagram may pass between two members.
+    """Simulated network; `link_up` returns whether two members can communicate.
 
     Parameters
     ----------
@@ -69,13 +69,13 @@
         self.domains = dict(domains)
         self.names = list(domains)
         self.now = 0.0
-        self.drop = self.repeat = self.max_delay = 0.0
-        self.link: Callable[[str, str], bool] = lambda _source, _target: True
+        self.loss_ratio = self.duplicate_ratio = self.max_delay_s = 0.0
+        self.link_up: Callable[[str, str], bool] = lambda _source, _target: True
         self.running: dict[str, Membership] = {}
-        self.starts = 0
-        self.log: list[tuple[str, Action]] = []
-        self.first_deaths: dict[tuple[str, int], str] = {}
-        self.largest_packet = 0
+        self.start_count = 0
+        self.action_log: list[tuple[str, Action]] = []
+        self.first_death_observers: dict[tuple[str, int], str] = {}
+        self.max_packet_bytes = 0
         self._in_flight: list[tuple[float, float, str, str, bytes]] = []
         for name in self.names:
             self.start(name)
@@ -85,15 +85,15 @@
         return f"10.1.0.{self.names.index(name) + 1}", 7946
 
     def start(self, name: str) -> None:
-        """Start a member, or start it again as a new process."""
+        """Start a member, or restart it as a new process."""
         seeds = [
             {"host": host, "port": port} for host, port in map(self.address, self.names)
         ]
         settings = make_settings(
             name, self.domains[name], self.address(name), seeds=seeds[:4]
         )
-        incarnation = FIRST_INCARNATION + RESTART_INCARNATIONS * self.starts
-        self.starts += 1
+        incarnation = INITIAL_INCARNATION + INCARNATION_STEP * self.start_count
+        self.start_count += 1
         host, port = self.address(name)
         own = make_update(name, self.domains[name], incarnation, host=host, port=port)
         rng = random.Random(self.rng.random())
@@ -102,11 +102,11 @@
         )
 
     def kill(self, name: str) -> None:
-        """Stop a member without a word."""
+        """Stop a member without an announcement."""
         self.running.pop(name, None)
 
     def run(self, seconds: float) -> None:
-        """Advance the time."""
+        """Advance the simulated time."""
         end = self.now + seconds
         while self.now < end:
             self.now += STEP_S
@@ -114,9 +114,11 @@
                 self.execute(name, member.tick(self.now))
             self._deliver()
 
-    def run_until(self, condition: Callable[[], bool], limit: float = 300.0) -> bool:
-        """Advance the time until a condition holds, at most `limit` seconds."""
-        end = self.now + limit
+    def run_until(
+        self, condition: Callable[[], bool], timeout_s: float = 300.0
+    ) -> bool:
+        """Advance the time until a condition holds; return False after `timeout_s`."""
+        end = self.now + timeout_s
         while not condition():
             if self.now >= end:
                 return False
@@ -126,24 +128,24 @@
     def execute(self, name: str, actions: list[Action]) -> None:
         """Execute the actions of a member."""
         for action in actions:
-            self.log.append((name, action))
+            self.action_log.append((name, action))
             match action:
                 case SendTo(address=address, message=message):
                     self._send(name, address, message)
                 case MemberChanged(member=changed):
                     if changed.state is MemberState.DEAD:
                         key = (changed.id, changed.incarnation)
-                        self.first_deaths.setdefault(key, name)
-                case DomainReachable():
+                        self.first_death_observers.setdefault(key, name)
+                case ReachabilityChanged():
                     pass
 
     def states(self, name: str) -> dict[str, MemberState]:
-        """Return what a member knows about the others."""
+        """Return the states of all members as known to one of them."""
         members = self.running[name].members.values()
         return {member.id: member.state for member in members}
 
     def agreed(self) -> bool:
-        """Whether each member holds exactly the running ones as alive."""
+        """Whether each member knows exactly the running ones and their states."""
         expected = {
             name: (member.own.incarnation, member.own.state)
             for name, member in self.running.items()
@@ -160,10 +162,10 @@
         )
 
     def changes_of(self, name: str, since: int = 0) -> list[tuple[str, MemberState]]:
-        """Return the state changes that members other than `name` saw of it."""
+        """Return the state changes of `name` that other members have observed."""
         return [
             (observer, action.member.state)
-            for observer, action in self.log[since:]
+            for observer, action in self.action_log[since:]
             if isinstance(action, MemberChanged)
             and action.member.id == name
             and observer != name
@@ -173,14 +175,14 @@
         target = next(
             (name for name in self.names if self.address(name) == address), None
         )
-        if target is None or not self.link(source, target):
+        if target is None or not self.link_up(source, target):
             return
         data = encode((message,))
-        self.largest_packet = max(self.largest_packet, len(data))
-        copies = 2 if self.rng.random() < self.repeat else 1
+        self.max_packet_bytes = max(self.max_packet_bytes, len(data))
+        copies = 2 if self.rng.random() < self.duplicate_ratio else 1
         for _ in range(copies):
-            if self.rng.random() >= self.drop:
-                delay = self.rng.random() * self.max_delay
+            if self.rng.random() >= self.loss_ratio:
+                delay = self.rng.random() * self.max_delay_s
                 self._in_flight.append(
                     (self.now + delay, self.rng.random(), source, target, data)
                 )
@@ -190,7 +192,7 @@
             self._in_flight = [item for item in self._in_flight if item[0] > self.now]
             for _, _, source, target, data in due:
                 member = self.running.get(target)
-                if member is not None and self.link(source, target):
+                if member is not None and self.link_up(source, target):
                     (message,) = decode(data)
                     assert isinstance(message, Datagram)
                     self.execute(
--- a/borageworks/membership/update_queue.py
+++ b/borageworks/membership/update_queue.py
@@ -1,4 +1,4 @@
-"""Updates that wait to be piggybacked."""
+"""Member updates queued for piggybacking on outgoing packets."""
 
 from __future__ import annotations
 
@@ -8,54 +8,58 @@
 
 
 def packed_size(update: MemberUpdate) -> int:
-    """Return an upper bound of an update's bytes in a packed frame."""
-    # Ports and state take 6 bytes and three pointers 15. Packing adds a byte to each
-    # word of eight bytes, and a second one to a word without zeros or of zeros only.
-    number = (update.incarnation.bit_length() + 7) // 8 + 2
-    texts = (len(update.instance), len(update.domain), len(update.host))
-    return 21 + number + sum(length + 2 * (length // 8) + 2 for length in texts)
+    """Return an upper bound on the size of an update in a packed frame, in bytes."""
+    # Ports and state take 6 bytes, three pointers 15. Packing adds one byte per 8-byte
+    # word, and a second one to a word with no zero byte or with zero bytes only.
+    incarnation_bytes = (update.incarnation.bit_length() + 7) // 8 + 2
+    text_lengths = (len(update.instance), len(update.domain), len(update.host))
+    return (
+        21
+        + incarnation_bytes
+        + sum(length + 2 * (length // 8) + 2 for length in text_lengths)
+    )
 
 
 class UpdateQueue:
-    """Gives each update a bounded number of times, the least often sent ones first."""
+    """Returns each update a bounded number of times, the least sent ones first."""
 
     def __init__(self) -> None:
-        self._sent: dict[Key, int] = {}
-        self._by_sent: list[dict[Key, MemberUpdate]] = [{}]
+        self._send_counts: dict[Key, int] = {}
+        self._by_send_count: list[dict[Key, MemberUpdate]] = [{}]
 
     def __len__(self) -> int:
-        """Return the number of waiting updates."""
-        return len(self._sent)
+        """Return the number of queued updates."""
+        return len(self._send_counts)
 
     def put(self, update: MemberUpdate) -> None:
-        """Add an update in place of an earlier one of the same member."""
+        """Add an update in place of an earlier one of the same instance and domain."""
         key = (update.instance, update.domain)
-        sent = self._sent.get(key)
-        if sent is not None:
-            del self._by_sent[sent][key]
-        self._sent[key] = 0
-        self._by_sent[0][key] = update
-
-    def take(self, size: int, limit: int) -> list[MemberUpdate]:
-        """Return updates of at most `size` bytes; each is given `limit` times."""
-        if not self._sent:
+        send_count = self._send_counts.get(key)
+        if send_count is not None:
+            del self._by_send_count[send_count][key]
+        self._send_counts[key] = 0
+        self._by_send_count[0][key] = update
+
+    def take(self, free_bytes: int, max_sends: int) -> list[MemberUpdate]:
+        """Return updates that fit `free_bytes`, each at most `max_sends` times."""
+        if not self._send_counts:
             return []
         taken: list[tuple[int, Key, MemberUpdate]] = []
-        for sent, waiting in enumerate(self._by_sent):
-            for key, update in waiting.items():
-                size -= packed_size(update)
-                if size < 0:
+        for send_count, queued in enumerate(self._by_send_count):
+            for key, update in queued.items():
+                free_bytes -= packed_size(update)
+                if free_bytes < 0:
                     break
-                taken.append((sent, key, update))
-            if size < 0:
+                taken.append((send_count, key, update))
+            if free_bytes < 0:
                 break
-        for sent, key, update in taken:
-            del self._by_sent[sent][key]
-            if sent + 1 >= limit:
-                del self._sent[key]
+        for send_count, key, update in taken:
+            del self._by_send_count[send_count][key]
+            if send_count + 1 >= max_sends:
+                del self._send_counts[key]
                 continue
-            if sent + 1 == len(self._by_sent):
-                self._by_sent.append({})
-            self._sent[key] = sent + 1
-            self._by_sent[sent + 1][key] = update
+            if send_count + 1 == len(self._by_send_count):
+                self._by_send_count.append({})
+            self._send_counts[key] = send_count + 1
+            self._by_send_count[send_count + 1][key] = update
         return [update for _, _, update in taken]
