--- a/borageworks/catalog/bucket.py
+++ b/borageworks/catalog/bucket.py
@@ -1,4 +1,4 @@
-"""One bucket of the configuration as it stands in the platform store."""
+"""One bucket of the configuration as stored in the platform store."""
 
 from __future__ import annotations
 
@@ -10,27 +10,27 @@
 import orjson
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
-from borageworks.catalog.versioned import Record, Versioned, first_reason
+from borageworks.catalog.versioned import Versioned, VersionedDocument, first_error
 from borageworks.exceptions import StoreReplyMalformedError
 
-# Level 6 leaves little more than the API key hashes, which cannot be compressed.
+# At level 6 the result consists mostly of API key hashes, which are incompressible.
 COMPRESSION_LEVEL = 6
 
-# Bounds the memory that a damaged or foreign value can take when it is read.
+# Limits the memory that a corrupt or foreign value can take when it is decompressed.
 DOCUMENT_LIMIT_BYTES = 64 * 1_048_576
 
-Lookup = Callable[[str, str], Versioned | None]
+VersionedLookup = Callable[[str, str], Versioned | None]
 
 
-class _Document(BaseModel):
+class _BucketDocument(BaseModel):
     model_config = ConfigDict(frozen=True, extra="forbid")
 
     tickets: int = Field(ge=0, lt=1 << 63)
-    objects: tuple[Record, ...]
+    objects: tuple[VersionedDocument, ...]
 
 
-class _Outline(BaseModel):
-    """A bucket whose objects are not validated yet."""
+class _UnvalidatedBucketDocument(BaseModel):
+    """A bucket whose objects have not been validated."""
 
     model_config = ConfigDict(frozen=True, extra="forbid")
 
@@ -59,7 +59,7 @@
     def encode(self) -> bytes:
         """Return the stored form: JSON text compressed by zlib.
 
-        Uncompressed, a ticket that touches all 64 buckets of 28,000 organisations would
+        Uncompressed, a ticket that changes all 64 buckets of 28,000 organisations would
         write 5.4 MB at once, more than stores accept in one request.
         """
         document = {
@@ -70,20 +70,20 @@
 
     @classmethod
     def decode(
-        cls, data: bytes, mod_revision: int, known: Lookup | None = None
+        cls, data: bytes, mod_revision: int, lookup: VersionedLookup | None = None
     ) -> Bucket:
-        """Return the bucket in its stored form.
+        """Decode the stored form of a bucket.
 
         Parameters
         ----------
         data
-            What `encode` returned.
+            Stored form, as returned by `encode`.
         mod_revision
-            Store revision that wrote it.
-        known
-            Finds the state that the caller already holds of an object. An object with
-            the same ticket number is taken from there and not validated again, which
-            takes most of the time of a bucket in which one object changed.
+            Store revision that wrote the bucket.
+        lookup
+            Returns the state of an object that the caller already has. An object with
+            the same ticket number is taken from there and not validated again, since
+            validation dominates the decoding time of a bucket with one changed object.
 
         Raises
         ------
@@ -92,16 +92,20 @@
         """
         text = _decompress(data)
         try:
-            if known is None:
-                document = _Document.model_validate_json(text, strict=True)
-                objects = tuple(record.state() for record in document.objects)
+            if lookup is None:
+                document = _BucketDocument.model_validate_json(text, strict=True)
+                objects = tuple(item.to_versioned() for item in document.objects)
                 return cls(document.tickets, objects, mod_revision)
-            outline = _Outline.model_validate_json(text, strict=True)
-            objects = tuple(_state(item, known) for item in outline.objects)
-            return cls(outline.tickets, objects, mod_revision)
+            unvalidated = _UnvalidatedBucketDocument.model_validate_json(
+                text, strict=True
+            )
+            objects = tuple(
+                _decode_object(item, lookup) for item in unvalidated.objects
+            )
+            return cls(unvalidated.tickets, objects, mod_revision)
         except ValidationError as error:
             raise StoreReplyMalformedError(
-                f"configuration bucket of {len(data)} bytes: {first_reason(error)}"
+                f"configuration bucket of {len(data)} bytes: {first_error(error)}"
             ) from error
 
 
@@ -121,12 +125,14 @@
     return text
 
 
-def _state(item: dict[str, Any], known: Lookup) -> Versioned:
+def _decode_object(item: dict[str, Any], lookup: VersionedLookup) -> Versioned:
     identity = item.get("put") or item.get("delete")
     if isinstance(identity, dict):
         kind, object_id = identity.get("kind"), identity.get("id")
         if isinstance(kind, str) and isinstance(object_id, str):
-            held = known(kind, object_id)
-            if held is not None and held.ticket == item.get("ticket"):
-                return held
-    return Record.model_validate_json(orjson.dumps(item), strict=True).state()
+            existing = lookup(kind, object_id)
+            if existing is not None and existing.ticket == item.get("ticket"):
+                return existing
+    return VersionedDocument.model_validate_json(
+        orjson.dumps(item), strict=True
+    ).to_versioned()
--- a/borageworks/catalog/buckets.py
+++ b/borageworks/catalog/buckets.py
@@ -4,8 +4,8 @@
 
 import xxhash
 
-# 28,000 organisations make about 440 objects a bucket, far under the store's value
-# limit, and a ticket that touches one object rewrites one sixty-fourth of the state.
+# 28,000 organisations give about 440 objects per bucket, far below the store's value
+# size limit. A ticket that changes one object rewrites 1/64 of the configuration.
 BUCKETS = 64
 
 
@@ -17,7 +17,7 @@
 def version_hash(kind: str, object_id: str, ticket: int) -> int:
     """Return a 64-bit hash of an object's identity and ticket number.
 
-    The number determines the value, since an accepted ticket always carries a number
-    above the last one of each object that it touches.
+    The ticket number determines the object's value, since an accepted ticket has a
+    higher number than each object that it changes had before.
     """
     return xxhash.xxh3_64_intdigest(f"{kind}\0{object_id}\0{ticket}".encode())
--- a/borageworks/catalog/follower.py
+++ b/borageworks/catalog/follower.py
@@ -1,4 +1,4 @@
-"""Reads the configuration from the store and follows its changes; I/O layer."""
+"""Reads the configuration from the store and follows its changes."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 from borageworks.exceptions import StoreReplyMalformedError, StoreUnavailableError
 from borageworks.store.store import Store
 
-# A watcher reads at most 20 values a second, also when tickets arrive without pause:
-# 18 watchers make 360 reads/s of the store's 2,000.
+# Limits a watcher to 20 reads/s under a steady stream of tickets: 18 watchers then
+# take 360 of the 2,000 reads/s that the store serves.
 READ_INTERVAL_S = 0.05
 
-# From this many changed buckets on, one range call replaces single reads.
-RANGE_BUCKETS = 8
+# At or above this number of changed buckets, one range call replaces single reads.
+RANGE_READ_MIN_BUCKETS = 8
 
-# Revision of a store that holds no configuration yet; etcd starts at 1.
-EMPTY_REVISION = 1
+# Revision of a store without a configuration; etcd starts at 1.
+EMPTY_STORE_REVISION = 1
 
 
 class StoreFollower:
-    """Brings what the store has into the replica.
+    """Copies the stored configuration and its changes into the replica.
 
     Every method may raise `StoreUnavailableError` and `StoreReplyMalformedError`.
 
@@ -40,7 +40,7 @@
     merge
         Merges objects into the replica and returns those that took effect.
     push
-        Passes new objects on to peers.
+        Sends changed objects to peers.
     """
 
     def __init__(
@@ -56,10 +56,10 @@
         self._push = push
         self._keys = CatalogKeys(CATALOG_PREFIX)
         # Ticket count of each bucket as last read from the store.
-        self._read_counts = [0] * BUCKETS
+        self._read_ticket_counts = [0] * BUCKETS
 
     async def follow(self, revision: int) -> None:
-        """Read what each change of the head names, after a store revision."""
+        """Watch the head after a store revision and read the buckets that changed."""
         batches = self._store.watch(self._keys.head, revision + 1)
         try:
             async for batch in batches:
@@ -69,35 +69,38 @@
         finally:
             if isinstance(batches, AsyncGenerator):
                 await batches.aclose()
-        raise StoreUnavailableError("the watch of the configuration ended")
+        raise StoreUnavailableError("the watch of the configuration head ended")
 
     async def catch_up(self) -> int:
-        """Read what the store has more than this instance; return its revision."""
+        """Read the changes that the replica lacks; return the revision read."""
         if not self._replica.revision:
             return await self.load()
         head = await self._store.get(self._keys.head)
         if head is None:
             return await self.load()
         stored = Head.decode(head.value)
-        if not any(self._read_counts) and head.mod_revision <= self._replica.revision:
+        if (
+            not any(self._read_ticket_counts)
+            and head.mod_revision <= self._replica.revision
+        ):
             # The configuration came from peers and is complete up to this head.
-            self._read_counts = list(stored.buckets)
+            self._read_ticket_counts = list(stored.buckets)
         else:
             await self._read_changed(stored, head.mod_revision)
         return head.mod_revision
 
     async def load(self) -> int:
-        """Read everything in one call; return the store's revision."""
-        complete = bool(self._replica.revision)
-        state = await read_state(self._store, self._keys, known=self._replica.get)
+        """Read the configuration in one call; return the store's revision."""
+        was_complete = bool(self._replica.revision)
+        state = await read_state(self._store, self._keys, lookup=self._replica.get)
         changed: list[Versioned] = []
         for bucket in state.buckets:
             changed += self._merge(bucket.objects)
-            # Merging all of 28,000 organisations at once holds the loop for 0.15 s.
+            # Merging 28,000 organisations in one step blocks the event loop for 0.15 s.
             await asyncio.sleep(0)
-        self._read_counts = list(state.head.buckets)
-        self._replica.note_revision(state.head_revision or EMPTY_REVISION)
-        if complete:
+        self._read_ticket_counts = list(state.head.buckets)
+        self._replica.advance_revision(state.head_revision or EMPTY_STORE_REVISION)
+        if was_complete:
             self._push(changed)
         return state.read_revision
 
@@ -105,21 +108,21 @@
         changed = [
             index
             for index, count in enumerate(head.buckets)
-            if count > self._read_counts[index]
+            if count > self._read_ticket_counts[index]
         ]
-        if len(changed) >= RANGE_BUCKETS:
+        if len(changed) >= RANGE_READ_MIN_BUCKETS:
             await self.load()
             await asyncio.sleep(READ_INTERVAL_S)
             return
-        # Merged together, so the objects of one ticket take effect together.
+        # Merged in one call, so the objects of one ticket take effect together.
         buckets = [
             await self._read_bucket(index, head.buckets[index]) for index in changed
         ]
         merged = self._merge(item for bucket in buckets for item in bucket.objects)
-        self._replica.note_revision(revision)
+        self._replica.advance_revision(revision)
         self._push(merged)
         for index, bucket in zip(changed, buckets, strict=True):
-            self._read_counts[index] = bucket.tickets
+            self._read_ticket_counts[index] = bucket.tickets
         await asyncio.sleep(READ_INTERVAL_S * len(changed))
 
     async def _read_bucket(self, index: int, tickets: int) -> Bucket:
--- a/borageworks/catalog/head.py
+++ b/borageworks/catalog/head.py
@@ -23,7 +23,7 @@
     previous
         Store revision of the head before this one, 0 for the first.
     buckets
-        Value of `tickets` when each bucket last changed, shape (BUCKETS,); tells a
+        Value of `tickets` when each bucket last changed, shape (BUCKETS,); shows a
         watcher which buckets to read.
     """
 
@@ -36,12 +36,12 @@
     )
 
     def encode(self) -> bytes:
-        """Return the JSON text."""
+        """Return the head as JSON text."""
         return orjson.dumps(self.model_dump())
 
     @classmethod
     def decode(cls, data: bytes) -> Head:
-        """Return the head in JSON text.
+        """Decode a head from JSON text.
 
         Raises
         ------
@@ -52,10 +52,11 @@
             return cls.model_validate_json(data, strict=True)
         except ValidationError as error:
             raise StoreReplyMalformedError(
-                f"configuration head of {len(data)} bytes: {error.error_count()} faults"
+                f"configuration head of {len(data)} bytes: {error.error_count()} "
+                "validation errors"
             ) from error
 
-    def advance(self, revision: int, touched: tuple[int, ...]) -> Head:
+    def advance(self, revision: int, changed_buckets: tuple[int, ...]) -> Head:
         """Return the head after one more ticket.
 
         `revision` is the store revision of this head.
@@ -65,7 +66,7 @@
             tickets=count,
             previous=revision,
             buckets=tuple(
-                count if index in touched else last
+                count if index in changed_buckets else last
                 for index, last in enumerate(self.buckets)
             ),
         )
--- a/borageworks/catalog/keys.py
+++ b/borageworks/catalog/keys.py
@@ -6,16 +6,17 @@
 
 CATALOG_PREFIX = "catalog"
 
-# At 4,800 tickets a day a ticket can be sent again for three days with the same result.
-REPLAY_RECORDS = 16_384
+# At 4,800 tickets per day, a ticket can be applied again for three days with the same
+# result.
+TICKET_RECORD_COUNT = 16_384
 
 
 @dataclass(frozen=True, slots=True)
 class CatalogKeys:
     """Store keys under one prefix.
 
-    The head and the buckets share the prefix `state`, so one range reads them at one
-    revision; ticket records stand apart from them.
+    The head and the buckets share the prefix `state`, so one range call reads them at
+    one revision. Ticket records have a prefix of their own.
     """
 
     prefix: str = CATALOG_PREFIX
@@ -34,10 +35,10 @@
         """Return the key of a bucket."""
         return f"{self.prefix}/state/bucket/{index:02d}"
 
-    def record(self, digest: str) -> str:
+    def ticket_record(self, digest: str) -> str:
         """Return the key of the record of an accepted ticket."""
         return f"{self.prefix}/tickets/{digest}"
 
-    def record_slot(self, count: int) -> str:
+    def ticket_record_slot(self, count: int) -> str:
         """Return the key that names the record to delete for the `count`-th ticket."""
-        return f"{self.prefix}/ticket-slots/{count % REPLAY_RECORDS:05d}"
+        return f"{self.prefix}/ticket-slots/{count % TICKET_RECORD_COUNT:05d}"
--- a/borageworks/catalog/objects.py
+++ b/borageworks/catalog/objects.py
@@ -1,6 +1,6 @@
 """Configuration objects that tickets create and change.
 
-The closed set of object kinds stands in one file, since readers match on all of them.
+All object kinds are defined in this file, since readers match exhaustively on them.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class PoolKind(StrEnum):
-    """What the endpoints of a pool are."""
+    """Type of the endpoints of a pool."""
 
     ENGINE = "engine"
     PLAIN = "plain"
@@ -37,7 +37,7 @@
 
 
 class Organisation(CatalogObject):
-    """A customer with a fair share of each pool.
+    """A customer that uses each pool in proportion to its `share`.
 
     `keys` are SHA-256 hashes of API keys in lower-case hexadecimal.
     """
@@ -48,16 +48,16 @@
 
 
 class Pool(CatalogObject):
-    """Endpoints that can run the same services."""
+    """A group of endpoints that run the same services."""
 
     kind: Literal["pool"] = "pool"
     endpoints: PoolKind
 
 
 class Service(CatalogObject):
-    """What callers ask for: a model by name, or a plain service under a path.
+    """What callers request: a model by name, or a plain service by path.
 
-    `organisations` None lets every organisation use the service.
+    If `organisations` is None, every organisation may use the service.
     """
 
     kind: Literal["service"] = "service"
@@ -89,7 +89,7 @@
 
 
 class ObjectRef(BaseModel):
-    """Names one object."""
+    """Reference to one object."""
 
     model_config = ConfigDict(frozen=True, extra="forbid")
 
@@ -98,7 +98,7 @@
 
 
 class Ticket(BaseModel):
-    """A numbered change with the whole new state of each object that it touches."""
+    """A numbered change with the complete new state of each object that it changes."""
 
     model_config = ConfigDict(frozen=True, extra="forbid")
 
--- a/borageworks/catalog/plan.py
+++ b/borageworks/catalog/plan.py
@@ -1,4 +1,4 @@
-"""Decides whether a ticket is accepted and what it changes; pure."""
+"""Decides whether a ticket is accepted and what it changes; performs no I/O."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 from borageworks.catalog.view import CatalogView
 from borageworks.exceptions import TicketConflictError, TicketInvalidError
 
-DIGEST_BYTES = 16
+TICKET_DIGEST_BYTES = 16
 
 ObjectKey = tuple[str, str]
 
@@ -38,7 +38,7 @@
     changes
         New state of each object, empty for a replay.
     replayed_revision
-        Store revision that the same ticket had when it was accepted before, or None.
+        Store revision at which the same ticket was accepted before, or None.
     """
 
     number: int
@@ -47,8 +47,8 @@
     replayed_revision: int | None = None
 
     @property
-    def touched_buckets(self) -> tuple[int, ...]:
-        """Indexes of the buckets that change, in order."""
+    def changed_buckets(self) -> tuple[int, ...]:
+        """Indexes of the changed buckets, in ascending order."""
         return tuple(sorted({bucket_of(item.kind, item.id) for item in self.changes}))
 
 
@@ -63,7 +63,7 @@
         "delete": sorted((item.kind, item.id) for item in ticket.delete),
     }
     data = orjson.dumps(content, option=orjson.OPT_SORT_KEYS)
-    return hashlib.blake2b(data, digest_size=DIGEST_BYTES).hexdigest()
+    return hashlib.blake2b(data, digest_size=TICKET_DIGEST_BYTES).hexdigest()
 
 
 def plan_ticket(view: CatalogView, ticket: Ticket) -> TicketPlan:
@@ -77,21 +77,21 @@
         With every reason why the resulting configuration would be invalid.
     """
     digest = ticket_digest(ticket)
-    revision = view.applied.get(digest)
+    revision = view.accepted_revisions.get(digest)
     if revision is not None:
         return TicketPlan(ticket.number, digest, replayed_revision=revision)
-    touched: list[ObjectKey] = [(str(item.kind), item.id) for item in ticket.put]
-    touched += [(item.kind, item.id) for item in ticket.delete]
-    _refuse_conflicts(view, ticket.number, touched)
-    reasons = list(_ticket_faults(view, ticket, touched))
-    result = {
+    changed_keys: list[ObjectKey] = [(str(item.kind), item.id) for item in ticket.put]
+    changed_keys += [(item.kind, item.id) for item in ticket.delete]
+    _raise_for_conflicts(view, ticket.number, changed_keys)
+    reasons = list(_ticket_errors(view, ticket, changed_keys))
+    resulting_objects = {
         key: item.value for key, item in view.objects.items() if item.value is not None
     }
     for deleted in ticket.delete:
-        result.pop((deleted.kind, deleted.id), None)
+        resulting_objects.pop((deleted.kind, deleted.id), None)
     for value in ticket.put:
-        result[value.kind, value.id] = value
-    reasons.extend(_state_faults(result, view.domains))
+        resulting_objects[value.kind, value.id] = value
+    reasons.extend(_configuration_errors(resulting_objects, view.domains))
     if reasons:
         raise TicketInvalidError(tuple(reasons))
     changes = [
@@ -103,45 +103,46 @@
     return TicketPlan(ticket.number, digest, tuple(changes))
 
 
-def _refuse_conflicts(
-    view: CatalogView, number: int, touched: Iterable[ObjectKey]
+def _raise_for_conflicts(
+    view: CatalogView, number: int, changed_keys: Iterable[ObjectKey]
 ) -> None:
     conflicts = [
         f"{kind} {object_id!r} has ticket {view.objects[kind, object_id].ticket}"
-        for kind, object_id in dict.fromkeys(touched)
+        for kind, object_id in dict.fromkeys(changed_keys)
         if (kind, object_id) in view.objects
         and view.objects[kind, object_id].ticket >= number
     ]
     if conflicts:
         raise TicketConflictError(
-            f"ticket {number} is not above the last one: {'; '.join(conflicts)}"
+            f"ticket {number} is not above the current ticket of each object: "
+            f"{'; '.join(conflicts)}"
         )
 
 
-def _ticket_faults(
-    view: CatalogView, ticket: Ticket, touched: Collection[ObjectKey]
+def _ticket_errors(
+    view: CatalogView, ticket: Ticket, changed_keys: Collection[ObjectKey]
 ) -> Iterator[str]:
-    if not touched:
+    if not changed_keys:
         yield "the ticket changes nothing"
-    for (kind, object_id), count in Counter(touched).items():
+    for (kind, object_id), count in Counter(changed_keys).items():
         if count > 1:
             yield f"{kind} {object_id!r} occurs {count} times in the ticket"
     for item in ticket.delete:
         state = view.objects.get((item.kind, item.id))
         if state is None or state.value is None:
-            yield f"{item.kind} {item.id!r} is to be deleted and does not exist"
+            yield f"{item.kind} {item.id!r} cannot be deleted: it does not exist"
 
 
-def _state_faults(
+def _configuration_errors(
     objects: Mapping[ObjectKey, CatalogObject], domains: Collection[str] | None
 ) -> Iterator[str]:
-    key_holders: dict[str, list[str]] = defaultdict(list)
-    address_holders: dict[tuple[str, int], list[str]] = defaultdict(list)
+    organisations_by_key: dict[str, list[str]] = defaultdict(list)
+    endpoints_by_address: dict[tuple[str, int], list[str]] = defaultdict(list)
     for value in objects.values():
         match value:
             case Organisation():
                 for key in value.keys:
-                    key_holders[key].append(value.id)
+                    organisations_by_key[key].append(value.id)
             case Service():
                 if ("pool", value.pool) not in objects:
                     yield f"service {value.id!r} names missing pool {value.pool!r}"
@@ -152,19 +153,19 @@
                             f"{organisation!r}"
                         )
             case Endpoint():
-                address_holders[str(value.host), value.port].append(value.id)
-                yield from _endpoint_faults(value, objects, domains)
+                endpoints_by_address[str(value.host), value.port].append(value.id)
+                yield from _endpoint_errors(value, objects, domains)
             case Pool():
                 pass
-    for key, holders in key_holders.items():
-        if len(holders) > 1:
-            yield f"API key hash {key} is used by organisations {_names(holders)}"
-    for (host, port), holders in address_holders.items():
-        if len(holders) > 1:
-            yield f"address {host} port {port} is used by endpoints {_names(holders)}"
+    for key, ids in organisations_by_key.items():
+        if len(ids) > 1:
+            yield f"API key hash {key} is used by organisations {_quoted_list(ids)}"
+    for (host, port), ids in endpoints_by_address.items():
+        if len(ids) > 1:
+            yield f"address {host} port {port} is used by endpoints {_quoted_list(ids)}"
 
 
-def _endpoint_faults(
+def _endpoint_errors(
     endpoint: Endpoint,
     objects: Mapping[ObjectKey, CatalogObject],
     domains: Collection[str] | None,
@@ -180,5 +181,5 @@
         )
 
 
-def _names(identifiers: Iterable[str]) -> str:
+def _quoted_list(identifiers: Iterable[str]) -> str:
     return ", ".join(repr(identifier) for identifier in sorted(identifiers))
--- a/borageworks/catalog/digest.py
+++ b/borageworks/catalog/replica_digest.py
@@ -1,4 +1,4 @@
-"""Summary of a replica, small enough to send with each difference."""
+"""Summary of a replica, small enough to send whenever replicas differ."""
 
 from __future__ import annotations
 
@@ -6,15 +6,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Digest:
-    """Revision and content of a replica.
+class ReplicaDigest:
+    """Revision and content hashes of a replica.
 
     Parameters
     ----------
     revision
         Store revision up to which the replica is known to be complete, 0 if unknown.
     hashes
-        One order-free 64-bit hash per bucket, shape (BUCKETS,).
+        One order-independent 64-bit hash per bucket, shape (BUCKETS,).
     """
 
     revision: int
--- a/borageworks/catalog/state.py
+++ b/borageworks/catalog/state.py
@@ -1,4 +1,4 @@
-"""Whole configuration as it stands in the platform store."""
+"""Complete configuration as stored in the platform store."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from collections.abc import Iterator
 from dataclasses import dataclass, field
 
-from borageworks.catalog.bucket import Bucket, Lookup
+from borageworks.catalog.bucket import Bucket, VersionedLookup
 from borageworks.catalog.buckets import BUCKETS
 from borageworks.catalog.head import Head
 from borageworks.catalog.keys import CatalogKeys
@@ -18,7 +18,7 @@
 class StoredState:
     """Head and buckets at one store revision.
 
-    `head_revision` is the revision that wrote the head, 0 if there is none yet;
+    `head_revision` is the revision that wrote the head, 0 if there is none;
     `read_revision` is the store's revision when it was read.
     """
 
@@ -37,28 +37,28 @@
     store: Store,
     keys: CatalogKeys,
     previous: StoredState | None = None,
-    known: Lookup | None = None,
+    lookup: VersionedLookup | None = None,
 ) -> StoredState:
     """Read head and buckets at one revision, in one call.
 
     Parameters
     ----------
     store, keys
-        Where to read.
+        Platform store and the keys to read.
     previous
-        Buckets that did not change since then are taken from it.
-    known
+        Result of an earlier read, from which unchanged buckets are reused.
+    lookup
         See `Bucket.decode`.
 
     Raises
     ------
     StoreUnavailableError
-        If the store does not answer.
+        If the store does not reply.
     StoreReplyMalformedError
-        If a value is not what tickets write.
+        If a stored value is malformed.
     """
-    found = await store.range(keys.state)
-    values = found.values
+    result = await store.range(keys.state)
+    values = result.values
     previous = previous or StoredState()
     buckets = []
     for index, old in enumerate(previous.buckets):
@@ -68,13 +68,13 @@
         elif stored.mod_revision == old.mod_revision:
             buckets.append(old)
         else:
-            # Decoding one bucket of 28,000 organisations takes milliseconds; the other
-            # tasks of the loop run in between.
+            # With 28,000 organisations, decoding one bucket takes milliseconds; lets
+            # the other tasks of the event loop run in between.
             await asyncio.sleep(0)
-            buckets.append(Bucket.decode(stored.value, stored.mod_revision, known))
+            buckets.append(Bucket.decode(stored.value, stored.mod_revision, lookup))
     stored_head = values.get(keys.head)
     head, head_revision = Head(), 0
     if stored_head is not None:
         head = Head.decode(stored_head.value)
         head_revision = stored_head.mod_revision
-    return StoredState(head, head_revision, tuple(buckets), found.revision)
+    return StoredState(head, head_revision, tuple(buckets), result.revision)
--- a/borageworks/catalog/sync.py
+++ b/borageworks/catalog/sync.py
@@ -1,4 +1,4 @@
-"""Keeps the replica of one instance current; the I/O layer of the catalog."""
+"""Keeps the configuration replica of one instance current."""
 
 from __future__ import annotations
 
@@ -14,11 +14,11 @@
 )
 
 from borageworks.catalog.buckets import BUCKETS, bucket_of
-from borageworks.catalog.digest import Digest
 from borageworks.catalog.follower import StoreFollower
 from borageworks.catalog.replica import Replica
+from borageworks.catalog.replica_digest import ReplicaDigest
 from borageworks.catalog.versioned import Versioned
-from borageworks.catalog.watchers import FleetMember, watchers
+from borageworks.catalog.watchers import FleetMember, select_watchers
 from borageworks.config.settings import Settings
 from borageworks.events import Event, emit
 from borageworks.exceptions import (
@@ -37,53 +37,54 @@
     Message,
 )
 
-# Each instance passes a new object on once. With a fan-out of 3 the share x that hears
-# of it this way solves x = 1 - exp(-3 x), which is 0.94; the others find the difference
-# in a heartbeat.
-FANOUT = 3
+# Each instance forwards a new object once. With a fan-out of 3, the fraction x of
+# instances that a push reaches solves x = 1 - exp(-3 x), which gives 0.94. The others
+# detect the difference from a heartbeat.
+PUSH_FANOUT = 3
 
-# Larger changes spread by digests only, since every instance would send them FANOUT
-# times.
+# Larger changes spread by digests only, since every instance would send them
+# PUSH_FANOUT times.
 PUSH_LIMIT_BYTES = 512 * 1024
 
-# Bounds one message, well under the 1 MiB frame that may hold several.
+# Well under the frame limit of 1 MiB, since one frame may contain several messages.
 MESSAGE_LIMIT_BYTES = 128 * 1024
 
-# Encoding this many objects takes about a millisecond of the event loop.
+# Encoding this many objects blocks the event loop for about a millisecond.
 MESSAGE_LIMIT_OBJECTS = 64
 
 REPLY_INTERVAL_S = 0.005
 ROLE_INTERVAL_S = 1.0
 EXCHANGE_INTERVAL_S = 0.5
 
-# A peer with an older revision mostly holds nothing newer. If it stays behind for this
-# long, a few of its buckets are fetched: it may alone have received an object before
-# the store and the sender failed.
-BEHIND_PULL_AFTER_S = 10.0
-BEHIND_PULL_BUCKETS = 4
+# A peer with an older revision rarely has a newer object. If it still differs after
+# this delay, a few of its buckets are pulled: it may be the only instance that received
+# an object before the store and the sender failed.
+LAGGING_PEER_PULL_DELAY_S = 10.0
+LAGGING_PEER_PULL_BUCKETS = 4
 
-# A peer that missed a push lacks some of the last few changes; more than one message
-# of them would not pay, since they go out whenever digests differ.
-RECENT_OBJECTS = MESSAGE_LIMIT_OBJECTS
+# A peer that missed a push lacks some of the most recent changes. They are sent
+# whenever digests differ, so their number is limited to one message.
+RECENT_CHANGES = MESSAGE_LIMIT_OBJECTS
 
-RETRY_S = 1.0
+RETRY_INITIAL_S = 1.0
 RETRY_MAX_S = 30.0
 
-# Time in which the reply to a pull is expected, per bucket and in all; until then no
-# other peer is asked for the same bucket.
+# A pull times out after PULL_TIMEOUT_S plus PULL_TIMEOUT_PER_BUCKET_S per bucket. Until
+# then, none of its buckets is pulled again, from any peer.
 PULL_TIMEOUT_S = 1.0
 PULL_TIMEOUT_PER_BUCKET_S = 0.05
 
-# Exchanges wait until pushes have settled, but not for ever under a stream of tickets.
-SETTLE_S = 0.5
-SETTLE_LIMIT_S = 2.0
+# Exchanges wait until pushes have arrived, but not indefinitely under a steady stream
+# of tickets.
+SETTLE_DELAY_S = 0.5
+SETTLE_MAX_S = 2.0
 
 
 class CatalogSync:
-    """Loads, watches and exchanges the configuration.
+    """Loads and watches the configuration and exchanges it with peers.
 
-    Two instances of each domain watch the store. All others get new objects from peers
-    and call the store only to load their first configuration.
+    Two instances of each failure domain watch the store. All others get new objects
+    from peers and call the store only to load their initial configuration.
 
     Parameters
     ----------
@@ -94,9 +95,9 @@
     store
         Platform store.
     timers, metrics
-        Services of the process.
+        Timers and metrics of the process.
     send
-        Sends a message to an instance; it may be lost.
+        Sends a message to an instance, which may be lost.
     members
         Live members of the fleet, with or without this instance.
     on_change
@@ -130,26 +131,26 @@
         self._load_task: asyncio.Task[None] | None = None
         self._watch_task: asyncio.Task[None] | None = None
         self._reply_task: asyncio.Task[None] | None = None
-        # Version that peers reported in heartbeats, where it differs from ours.
-        self._differing: dict[str, tuple[int, int]] = {}
-        self._recent: deque[Versioned] = deque(maxlen=RECENT_OBJECTS)
-        self._replies: dict[tuple[str, int], None] = {}
-        self._store_tried = False
-        # Time since when a peer with an older revision differs.
-        self._behind: dict[str, float] = {}
-        self._pulled_until = [0.0] * BUCKETS
-        self._digest_sent: dict[str, float] = {}
-        self._changed_at = 0.0
-        self._exchanged_at = 0.0
+        # Versions reported in heartbeats by peers whose replica differs.
+        self._differing_versions: dict[str, tuple[int, int]] = {}
+        self._recent_changes: deque[Versioned] = deque(maxlen=RECENT_CHANGES)
+        self._pending_replies: dict[tuple[str, int], None] = {}
+        self._store_call_failed = False
+        # Time from which each peer with an older revision has differed.
+        self._lagging_since: dict[str, float] = {}
+        self._pull_timeout_at = [0.0] * BUCKETS
+        self._digest_sent_at: dict[str, float] = {}
+        self._last_change_at = 0.0
+        self._last_exchange_at = 0.0
 
     @property
     def lacking(self) -> tuple[str, ...]:
-        """What this instance lacks before it is ready; empty when nothing."""
+        """What this instance lacks to become ready; empty if nothing."""
         if self._replica.revision:
             return ()
-        if self._store_tried:
-            return ("configuration: the store does not answer and no peer sent one",)
-        return ("configuration: it is being loaded",)
+        if self._store_call_failed:
+            return ("configuration: the store does not reply and no peer has sent it",)
+        return ("configuration: being loaded",)
 
     @property
     def watching(self) -> bool:
@@ -157,22 +158,22 @@
         return self._watch_task is not None
 
     @property
-    def _loading(self) -> bool:
-        """Whether the first load from the store is under way, not to be doubled."""
-        return not self._replica.revision and not self._store_tried
+    def _initial_load_running(self) -> bool:
+        """Whether the initial load from the store is in progress; suppresses pulls."""
+        return not self._replica.revision and not self._store_call_failed
 
     async def start(self) -> None:
-        """Begin to load and to exchange; returns at once."""
+        """Start loading and exchanging; returns at once."""
         self._start_load()
-        # The role is chosen at the first tick, when the member list has had time to
-        # fill: an instance that knows no other member would be a watcher.
+        # The role is selected at the first tick, after the member list has had time to
+        # fill: an instance that knows no other member would become a watcher.
         self._subscriptions = [
-            self._timers.every(ROLE_INTERVAL_S, self._choose_role),
+            self._timers.every(ROLE_INTERVAL_S, self._update_role),
             self._timers.every(EXCHANGE_INTERVAL_S, self._exchange),
         ]
 
     async def stop(self) -> None:
-        """Stop every activity."""
+        """Cancel all timers and tasks."""
         for subscription in self._subscriptions:
             subscription.cancel()
         self._subscriptions.clear()
@@ -187,103 +188,104 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def on_catalog_version(self, instance: str, revision: int, content: int) -> None:
-        """Take the replica version that a peer reported in a heartbeat."""
+        """Process the replica version that a peer reported in a heartbeat."""
         if content == self._replica.version()[1]:
-            self._replica.note_revision(revision)
-            self._differing.pop(instance, None)
-            self._behind.pop(instance, None)
+            self._replica.advance_revision(revision)
+            self._differing_versions.pop(instance, None)
+            self._lagging_since.pop(instance, None)
         else:
-            self._differing[instance] = (revision, content)
+            self._differing_versions[instance] = (revision, content)
 
     def receive(self, sender: str, message: Message) -> None:
-        """Handle a message of a peer; malformed content is counted and dropped."""
+        """Handle a message from a peer; malformed content is counted and dropped."""
         match message:
             case CatalogObjects():
-                self._take_objects(sender, message)
+                self._handle_objects(sender, message)
             case CatalogDigest():
-                self._take_digest(sender, message)
+                self._handle_digest(sender, message)
             case CatalogPull():
-                self._take_pull(sender, message)
+                self._handle_pull(sender, message)
             case _:
                 self._metrics.count("catalog_malformed", type(message).__name__)
 
-    def _take_objects(self, sender: str, message: CatalogObjects) -> None:
+    def _handle_objects(self, sender: str, message: CatalogObjects) -> None:
         try:
             objects = [Versioned.decode(data) for data in message.objects]
         except MessageMalformedError:
             self._metrics.count("catalog_malformed", "CatalogObjects")
             return
-        complete = bool(self._replica.revision)
+        was_complete = bool(self._replica.revision)
         changed = self._merge(objects)
-        # An instance that loads its first configuration from a peer does not pass it
-        # on: what it hears of is old.
-        if complete:
+        # An instance does not forward the initial configuration that it loads from a
+        # peer, since its peers already have it.
+        if was_complete:
             self._push(changed, sender)
 
-    def _take_digest(self, sender: str, message: CatalogDigest) -> None:
+    def _handle_digest(self, sender: str, message: CatalogDigest) -> None:
         if len(message.buckets) != BUCKETS:
             self._metrics.count("catalog_malformed", "CatalogDigest")
             return
-        theirs = Digest(message.revision, message.buckets)
-        differing = self._replica.missing(theirs)
+        peer_digest = ReplicaDigest(message.revision, message.buckets)
+        differing = self._replica.differing_buckets(peer_digest)
         if not differing:
-            self._replica.note_revision(theirs.revision)
+            self._replica.advance_revision(peer_digest.revision)
             return
-        if self._loading:
+        if self._initial_load_running:
             return
-        asked = sender in self._digest_sent
-        if asked:
-            self._pull_differing(sender, theirs, differing)
+        already_sent = sender in self._digest_sent_at
+        if already_sent:
+            self._pull_differing(sender, peer_digest, differing)
         if self._replica.revision:
             self._send_recent(sender, differing)
-        if not asked:
+        if not already_sent:
             self._send_digest(sender)
 
     def _pull_differing(
-        self, sender: str, theirs: Digest, differing: Sequence[int]
+        self, sender: str, peer_digest: ReplicaDigest, differing: Sequence[int]
     ) -> None:
-        # An empty bucket has nothing to fetch.
-        filled = [index for index in differing if theirs.hashes[index]]
-        if theirs.revision >= self._replica.revision:
-            self._pull(sender, filled)
+        # There is nothing to pull from an empty bucket.
+        non_empty = [index for index in differing if peer_digest.hashes[index]]
+        if peer_digest.revision >= self._replica.revision:
+            self._pull(sender, non_empty)
             return
         now = self._timers.now()
-        since = self._behind.setdefault(sender, now)
-        if now - since >= BEHIND_PULL_AFTER_S and filled:
-            self._behind[sender] = now
-            count = min(BEHIND_PULL_BUCKETS, len(filled))
-            self._pull(sender, self._rng.sample(filled, count))
+        since = self._lagging_since.setdefault(sender, now)
+        if now - since >= LAGGING_PEER_PULL_DELAY_S and non_empty:
+            self._lagging_since[sender] = now
+            count = min(LAGGING_PEER_PULL_BUCKETS, len(non_empty))
+            self._pull(sender, self._rng.sample(non_empty, count))
 
     def _send_recent(self, peer: str, buckets: Sequence[int]) -> None:
         """Send the recent changes in some buckets.
 
-        They are mostly all that the peer lacks, and far smaller than the buckets. They
-        go before the digest, so the peer then sees no difference that it would pull.
+        They usually are all that the peer lacks, and are far smaller than the buckets.
+        They are sent before the digest, so the peer no longer finds these differences
+        and does not pull the buckets.
         """
         wanted = set(buckets)
         encoded = [
             item.encode()
-            for item in self._recent
+            for item in self._recent_changes
             if bucket_of(item.kind, item.id) in wanted
         ]
-        for message in _split(encoded):
+        for message in _split_messages(encoded):
             self._send_objects(peer, message)
 
-    def _take_pull(self, sender: str, message: CatalogPull) -> None:
+    def _handle_pull(self, sender: str, message: CatalogPull) -> None:
         indexes = [index for index in message.buckets if 0 <= index < BUCKETS]
         if len(indexes) != len(message.buckets):
             self._metrics.count("catalog_malformed", "CatalogPull")
         for index in indexes:
-            self._replies[sender, index] = None
+            self._pending_replies[sender, index] = None
         replying = self._reply_task is not None and not self._reply_task.done()
-        if self._replies and not replying and self._subscriptions:
+        if self._pending_replies and not replying and self._subscriptions:
             self._reply_task = self._spawn(self._reply())
 
     def _merge(self, objects: Iterable[Versioned]) -> list[Versioned]:
         changed = self._replica.merge(objects)
         if changed:
-            self._recent.extend(changed)
-            self._changed_at = self._timers.now()
+            self._recent_changes.extend(changed)
+            self._last_change_at = self._timers.now()
             self._metrics.count("catalog_objects_changed", amount=len(changed))
             emit(
                 Event.CATALOG_CHANGED,
@@ -301,8 +303,8 @@
             return
         excluded = (self._settings.instance, source)
         others = [member.id for member in self._members() if member.id not in excluded]
-        messages = list(_split(encoded))
-        for peer in self._rng.sample(others, min(FANOUT, len(others))):
+        messages = list(_split_messages(encoded))
+        for peer in self._rng.sample(others, min(PUSH_FANOUT, len(others))):
             for message in messages:
                 self._send_objects(peer, message)
 
@@ -313,55 +315,55 @@
 
     def _pull(self, peer: str, indexes: Iterable[int]) -> None:
         now = self._timers.now()
-        wanted = [index for index in indexes if self._pulled_until[index] <= now]
+        wanted = [index for index in indexes if self._pull_timeout_at[index] <= now]
         if not wanted:
             return
-        until = now + PULL_TIMEOUT_S + PULL_TIMEOUT_PER_BUCKET_S * len(wanted)
+        timeout_at = now + PULL_TIMEOUT_S + PULL_TIMEOUT_PER_BUCKET_S * len(wanted)
         for index in wanted:
-            self._pulled_until[index] = until
+            self._pull_timeout_at[index] = timeout_at
         self._metrics.count("catalog_pulls", amount=len(wanted))
         self._send(peer, CatalogPull(tuple(wanted)))
 
     async def _reply(self) -> None:
-        """Send requested buckets in small messages, with pauses in between."""
-        while self._replies:
-            peer, index = next(iter(self._replies))
-            del self._replies[peer, index]
+        """Send the requested buckets in small messages with pauses in between."""
+        while self._pending_replies:
+            peer, index = next(iter(self._pending_replies))
+            del self._pending_replies[peer, index]
             objects = self._replica.bucket(index)
             for start in range(0, len(objects), MESSAGE_LIMIT_OBJECTS):
-                part = objects[start : start + MESSAGE_LIMIT_OBJECTS]
-                for message in _split([item.encode() for item in part]):
+                batch = objects[start : start + MESSAGE_LIMIT_OBJECTS]
+                for message in _split_messages([item.encode() for item in batch]):
                     self._send_objects(peer, message)
                 await asyncio.sleep(REPLY_INTERVAL_S)
 
     def _send_digest(self, peer: str) -> None:
         now = self._timers.now()
-        # Without a limit two instances that differ would answer each other's digests
-        # back and forth.
-        if now - self._digest_sent.get(peer, -EXCHANGE_INTERVAL_S) < (
+        # Without this limit, two instances that differ would reply to each other's
+        # digests in a loop.
+        if now - self._digest_sent_at.get(peer, -EXCHANGE_INTERVAL_S) < (
             EXCHANGE_INTERVAL_S
         ):
             return
-        self._digest_sent[peer] = now
+        self._digest_sent_at[peer] = now
         digest = self._replica.digest()
         self._metrics.count("catalog_digests")
         self._send(peer, CatalogDigest(digest.revision, digest.hashes))
 
     def _exchange(self, now: float) -> None:
-        """Send a digest to the most advanced peer that differs."""
-        self._digest_sent = {
+        """Send a digest to a differing peer with the highest revision."""
+        self._digest_sent_at = {
             peer: sent
-            for peer, sent in self._digest_sent.items()
+            for peer, sent in self._digest_sent_at.items()
             if now - sent < EXCHANGE_INTERVAL_S
         }
-        differing, self._differing = self._differing, {}
-        if self._loading:
+        differing, self._differing_versions = self._differing_versions, {}
+        if self._initial_load_running:
             return
         complete = bool(self._replica.revision)
         if (
             complete
-            and now - self._changed_at < SETTLE_S
-            and now - self._exchanged_at < SETTLE_LIMIT_S
+            and now - self._last_change_at < SETTLE_DELAY_S
+            and now - self._last_exchange_at < SETTLE_MAX_S
         ):
             return
         members = [
@@ -369,7 +371,11 @@
             for member in self._members()
             if member.id != self._settings.instance
         ]
-        self._behind = {p: t for p, t in self._behind.items() if p in members}
+        self._lagging_since = {
+            peer: since
+            for peer, since in self._lagging_since.items()
+            if peer in members
+        }
         content = self._replica.version()[1]
         candidates = [
             peer
@@ -382,16 +388,16 @@
         elif not complete:
             candidates = members
         if candidates:
-            self._exchanged_at = now
+            self._last_exchange_at = now
             self._send_digest(self._rng.choice(candidates))
 
-    def _choose_role(self, _now: float) -> None:
+    def _update_role(self, _now: float) -> None:
         """Watch the store if this instance is one of its domain's watchers."""
-        chosen = watchers(
-            self._settings.domain, [*self._members(), _OwnMember(self._settings)]
+        selected = select_watchers(
+            self._settings.domain, [*self._members(), _LocalMember(self._settings)]
         )
         task = self._watch_task
-        if self._settings.instance in chosen:
+        if self._settings.instance in selected:
             if task is None or task.done():
                 if self._load_task is not None:
                     self._load_task.cancel()
@@ -407,22 +413,22 @@
         if self._replica.revision:
             return
         if self._load_task is None or self._load_task.done():
-            self._load_task = self._spawn(self._load_first())
+            self._load_task = self._spawn(self._load_initial())
 
-    async def _load_first(self) -> None:
-        """Load from the store until there is a configuration, also from peers."""
-        delay = RETRY_S
+    async def _load_initial(self) -> None:
+        """Retry the load from the store until it or a peer gave a configuration."""
+        delay = RETRY_INITIAL_S
         while not self._replica.revision:
             try:
                 await self._follower.load()
             except (StoreUnavailableError, StoreReplyMalformedError) as error:
-                delay = await self._pause(delay, error)
+                delay = await self._back_off(delay, error)
 
     async def _watch(self) -> None:
-        """Follow the head in the store."""
-        delay = RETRY_S
+        """Follow the configuration head in the store."""
+        delay = RETRY_INITIAL_S
         while True:
-            opened = self._timers.now()
+            started_at = self._timers.now()
             try:
                 await self._follower.follow(await self._follower.catch_up())
             except (
@@ -430,17 +436,17 @@
                 StoreReplyMalformedError,
                 StoreCompactedError,
             ) as error:
-                if self._timers.now() - opened > RETRY_MAX_S:
-                    delay = RETRY_S
-                delay = await self._pause(delay, error)
+                if self._timers.now() - started_at > RETRY_MAX_S:
+                    delay = RETRY_INITIAL_S
+                delay = await self._back_off(delay, error)
 
-    async def _pause(
+    async def _back_off(
         self,
         delay: float,
         error: StoreUnavailableError | StoreReplyMalformedError | StoreCompactedError,
     ) -> float:
-        """Wait after a failed call; return the next delay."""
-        self._store_tried = True
+        """Wait after a failed store call; return the next delay."""
+        self._store_call_failed = True
         self._metrics.count("catalog_store_failures", error.code)
         emit(Event.CATALOG_BEHIND, code=error.code, detail=str(error))
         await asyncio.sleep(self._rng.uniform(delay / 2, delay))
@@ -452,8 +458,8 @@
         return task
 
 
-class _OwnMember:
-    """Own instance, which the member list may leave out."""
+class _LocalMember:
+    """Entry for this instance, which the member list may omit."""
 
     def __init__(self, settings: Settings) -> None:
         self.id: str = settings.instance
@@ -466,15 +472,15 @@
         emit(Event.TASK_FAILED, task="catalog", detail=repr(error))
 
 
-def _split(encoded: Sequence[bytes]) -> Iterator[CatalogObjects]:
-    """Yield messages within MESSAGE_LIMIT_BYTES, or with one larger object."""
-    part: list[bytes] = []
+def _split_messages(encoded: Sequence[bytes]) -> Iterator[CatalogObjects]:
+    """Yield messages of at most MESSAGE_LIMIT_BYTES, or with one larger object."""
+    batch: list[bytes] = []
     size = 0
     for data in encoded:
-        if part and size + len(data) > MESSAGE_LIMIT_BYTES:
-            yield CatalogObjects(tuple(part))
-            part, size = [], 0
-        part.append(data)
+        if batch and size + len(data) > MESSAGE_LIMIT_BYTES:
+            yield CatalogObjects(tuple(batch))
+            batch, size = [], 0
+        batch.append(data)
         size += len(data)
-    if part:
-        yield CatalogObjects(tuple(part))
+    if batch:
+        yield CatalogObjects(tuple(batch))
--- a/borageworks/catalog/tests/builders.py
+++ b/borageworks/catalog/tests/builders.py
@@ -1,4 +1,4 @@
-"""Short constructors of configuration objects."""
+"""Factories of configuration objects for tests."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def service(name: str, pool_name: str, *organisations: str) -> Service:
-    """Return a service, for every organisation if none is named."""
+    """Return a service, open to every organisation if none is given."""
     return Service(id=name, pool=pool_name, organisations=organisations or None)
 
 
--- a/borageworks/catalog/tests/fakes.py
+++ b/borageworks/catalog/tests/fakes.py
@@ -1,4 +1,4 @@
-"""In-memory stand-in for the platform store."""
+"""In-memory fake of the platform store."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 
 class FakeStore:
-    """Store in memory, whose failures the test chooses.
+    """In-memory store with failures that the test sets.
 
     Parameters
     ----------
     lost_replies
-        For each of the next commits: None answers, "before" loses the request, "after"
-        loses the reply, "late" applies the transaction at the next commit.
+        Fault of each of the next commits: None replies, "before" loses the request,
+        "after" loses the reply, "late" applies the transaction at the next commit.
     """
 
     def __init__(self, lost_replies: list[str | None] | None = None) -> None:
@@ -36,14 +36,14 @@
         self.revision = 1
         self.compacted = 0
         self.down = False
-        # Watches notice nothing while set, as behind a broken connection.
-        self.silent = False
+        # While set, watches get no changes, as over a broken connection.
+        self.watches_silent = False
         self.range_delay_s = 0.0
         self.calls: Counter[str] = Counter()
         self.keys_read: Counter[str] = Counter()
         self.history: list[WatchBatch] = []
         self.lost_replies = lost_replies or []
-        self._late: list[Transaction] = []
+        self._delayed: list[Transaction] = []
         self._changed = asyncio.Event()
 
     def _call(self, name: str) -> None:
@@ -68,15 +68,15 @@
     async def commit(self, transaction: Transaction) -> CommitResult:
         self._call("commit")
         await asyncio.sleep(0)
-        lost = self.lost_replies.pop(0) if self.lost_replies else None
-        for late in self._late:
-            self._apply(late)
-        self._late.clear()
-        if lost == "late":
-            self._late.append(transaction)
-        elif lost != "before":
+        fault = self.lost_replies.pop(0) if self.lost_replies else None
+        for delayed in self._delayed:
+            self._apply(delayed)
+        self._delayed.clear()
+        if fault == "late":
+            self._delayed.append(transaction)
+        elif fault != "before":
             succeeded = self._apply(transaction)
-        if lost is not None:
+        if fault is not None:
             raise StoreOutcomeUnknownError("the reply was lost")
         return CommitResult(succeeded, self.revision)
 
@@ -94,12 +94,12 @@
         for key in transaction.deletes:
             self.values.pop(key, None)
         self.history.append(WatchBatch(self.revision, puts, transaction.deletes))
-        if not self.silent:
-            self.wake()
+        if not self.watches_silent:
+            self.notify_watches()
         return True
 
-    def wake(self) -> None:
-        """Let every open watch look at the state again."""
+    def notify_watches(self) -> None:
+        """Make every open watch check for changes."""
         self._changed.set()
         self._changed = asyncio.Event()
 
@@ -107,17 +107,17 @@
         self, prefix: str, start_revision: int
     ) -> AsyncIterator[WatchBatch]:
         self._call("watch")
-        following = start_revision or self.revision + 1
+        next_revision = start_revision or self.revision + 1
         while True:
-            if following <= self.compacted:
-                raise StoreCompactedError(f"revision {following} is compacted")
+            if next_revision <= self.compacted:
+                raise StoreCompactedError(f"revision {next_revision} is compacted")
             if self.down:
                 raise StoreUnavailableError("the store is down")
             changed = self._changed
             for batch in list(self.history):
                 puts = {k: v for k, v in batch.puts.items() if k.startswith(prefix)}
-                if batch.revision >= following and puts:
-                    following = batch.revision + 1
+                if batch.revision >= next_revision and puts:
+                    next_revision = batch.revision + 1
                     yield WatchBatch(batch.revision, puts, ())
             await changed.wait()
 
--- a/borageworks/catalog/tests/fleet.py
+++ b/borageworks/catalog/tests/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet on simulated time, whose network loses, repeats and delays messages."""
+"""Fleet on simulated time whose network loses, duplicates and delays messages."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class Instance:
-    """One synchroniser with its replica and what took effect, in order."""
+    """A synchroniser, its replica and the changes that took effect, in order."""
 
     def __init__(self, fleet: Fleet, member: FakeMember, store: Store) -> None:
         self.member = member
@@ -66,26 +66,26 @@
     ----------
     seed
         Seed of every random choice.
-    loss, repeat
-        Probability that a message is lost, or delivered twice.
+    loss, duplication
+        Probability that a message is lost or delivered twice.
     delay_s
-        Largest delay of a message in seconds; messages overtake each other.
+        Maximum delay of a message in seconds; messages can arrive out of order.
     """
 
     def __init__(
         self,
         seed: int = 1,
         loss: float = 0.0,
-        repeat: float = 0.0,
+        duplication: float = 0.0,
         delay_s: float = 0.002,
     ) -> None:
         self.rng = random.Random(seed)
         self.timers = Timers()
         self.loss = loss
-        self.repeat = repeat
+        self.duplication = duplication
         self.delay_s = delay_s
         self.instances: dict[str, Instance] = {}
-        self.largest_frame = 0
+        self.max_frame_bytes = 0
         self.sent: list[tuple[str, str, Message]] = []
 
     def members(self) -> list[FakeMember]:
@@ -113,8 +113,8 @@
         """Deliver a message later, once, twice or never."""
         self.sent.append((sender, receiver, message))
         frame = encode([message])
-        self.largest_frame = max(self.largest_frame, len(frame))
-        for _ in range(2 if self.rng.random() < self.repeat else 1):
+        self.max_frame_bytes = max(self.max_frame_bytes, len(frame))
+        for _ in range(2 if self.rng.random() < self.duplication else 1):
             if self.rng.random() >= self.loss:
                 self.timers.after(
                     self.rng.uniform(0, self.delay_s),
@@ -133,13 +133,13 @@
             peer = self.instances[self.rng.choice(others)]
             peer.sync.on_catalog_version(name, *instance.replica.version())
 
-    async def settled(self, revision: int = 1, limit_s: float = 120.0) -> None:
+    async def wait_until_equal(self, revision: int = 1, limit_s: float = 120.0) -> None:
         """Wait until all replicas are equal and complete up to a store revision.
 
         Raises
         ------
         TimeoutError
-            If they are not in `limit_s` simulated seconds.
+            If they are not within `limit_s` simulated seconds.
         """
         async with asyncio.timeout(limit_s):
             while True:
@@ -149,32 +149,32 @@
                 await asyncio.sleep(0.1)
 
 
-class _Selector(selectors.DefaultSelector):
-    """Advances the clock instead of waiting."""
+class _SimulatedSelector(selectors.DefaultSelector):
+    """Advances the simulated clock instead of waiting."""
 
     elapsed = 0.0
 
     def select(self, timeout: float | None = None) -> Any:
         if timeout is None:
-            raise RuntimeError("every task waits and no timer is set")
+            raise RuntimeError("all tasks are waiting and no timer is set")
         self.elapsed += max(timeout, 0.0)
         return super().select(0)
 
 
-class VirtualLoop(asyncio.SelectorEventLoop):
-    """Loop with simulated time, starting at 1,000 s."""
+class SimulatedLoop(asyncio.SelectorEventLoop):
+    """Event loop with simulated time, starting at 1,000 s."""
 
     def __init__(self) -> None:
-        self._virtual_selector = _Selector()
-        super().__init__(self._virtual_selector)
+        self._simulated_selector = _SimulatedSelector()
+        super().__init__(self._simulated_selector)
 
     def time(self) -> float:
-        return 1000.0 + self._virtual_selector.elapsed
+        return 1000.0 + self._simulated_selector.elapsed
 
 
 def run(main: Coroutine[Any, Any, None]) -> None:
-    """Run a coroutine on a loop with simulated time."""
-    with asyncio.Runner(loop_factory=VirtualLoop) as runner:
+    """Run a coroutine on an event loop with simulated time."""
+    with asyncio.Runner(loop_factory=SimulatedLoop) as runner:
         runner.run(main)
 
 
--- a/borageworks/catalog/tests/test_etcd.py
+++ b/borageworks/catalog/tests/test_etcd.py
@@ -1,4 +1,4 @@
-"""Tests of tickets and synchronisation over the store adapter, on loopback."""
+"""Tests of tickets and synchronisation with the etcd adapter and an emulated store."""
 
 import asyncio
 from contextlib import asynccontextmanager
@@ -36,13 +36,13 @@
 
 class EtcdCatalogTest(testtools.TestCase):
     def test_tickets_with_lost_replies_and_an_outage(self):
-        """Guards against adapter errors that tickets do not expect."""
+        """Guards against adapter errors that ticket application does not handle."""
         self.patch(tickets_module, "RACE_PAUSE_S", 0.0)
 
         async def scenario():
             async with connected() as (emulated, store):
-                many = [organisation(f"o{n:04d}", n) for n in range(2000)]
-                await apply_ticket(store, CATALOG_PREFIX, ticket(1, *many))
+                organisations = [organisation(f"o{n:04d}", n) for n in range(2000)]
+                await apply_ticket(store, CATALOG_PREFIX, ticket(1, *organisations))
                 emulated.faults.lost_replies = 1
                 change = ticket(2, organisation("o0001", share=2.0))
                 first = await apply_ticket(store, CATALOG_PREFIX, change)
@@ -57,32 +57,34 @@
                 )
                 emulated.unavailable = True
                 with testtools.ExpectedException(StoreUnavailableError):
-                    await apply_ticket(store, CATALOG_PREFIX, ticket(3, *many))
+                    await apply_ticket(store, CATALOG_PREFIX, ticket(3, *organisations))
                 emulated.unavailable = False
                 emulated.faults.lost_requests = 1000
                 with testtools.ExpectedException(StoreOutcomeUnknownError):
-                    await apply_ticket(store, CATALOG_PREFIX, ticket(3, *many[:1]))
+                    await apply_ticket(
+                        store, CATALOG_PREFIX, ticket(3, *organisations[:1])
+                    )
 
         asyncio.run(scenario())
 
-    def test_watcher_follows_through_breaks_and_compaction(self):
-        """Guards against a watch form that the synchroniser does not understand."""
+    def test_watcher_recovers_from_broken_watches_and_compaction(self):
+        """Guards against watch errors that the synchroniser does not handle."""
         self.patch(sync_module, "ROLE_INTERVAL_S", 0.05)
-        self.patch(sync_module, "RETRY_S", 0.05)
+        self.patch(sync_module, "RETRY_INITIAL_S", 0.05)
 
         async def scenario():
             async with connected() as (emulated, store):
                 fleet = Fleet()
-                lone = await fleet.add("lone", "d1", store)
+                single = await fleet.add("single", "d1", store)
                 for number in range(1, 6):
                     change = ticket(number, organisation(f"o{number}"))
                     result = await apply_ticket(store, CATALOG_PREFIX, change)
-                    await fleet.settled(result.revision)
+                    await fleet.wait_until_equal(result.revision)
                     emulated.break_watches()
                     if number == 3:
                         emulated.compact(emulated.revision)
-                self.assertEqual(5, len(lone.replica.organisations))
-                self.assertTrue(lone.sync.watching)
+                self.assertEqual(5, len(single.replica.organisations))
+                self.assertTrue(single.sync.watching)
                 await fleet.stop()
 
         asyncio.run(scenario())
--- a/borageworks/catalog/tests/test_plan.py
+++ b/borageworks/catalog/tests/test_plan.py
@@ -1,4 +1,4 @@
-"""Tests of ticket decisions, against a naive reference on plain dictionaries."""
+"""Tests of ticket decisions, compared with a simple reference implementation."""
 
 from typing import Any
 
@@ -36,7 +36,7 @@
 
 
 def reference(state, applied, change):
-    """Return "replay", "conflict", "invalid" or the next state, by plain loops.
+    """Return "replay", "conflict", "invalid" or the next state.
 
     `state` holds (ticket, JSON value or None) by (kind, id).
     """
@@ -44,10 +44,10 @@
     delete = [(item.kind, item.id) for item in change.delete]
     if (change.number, sorted(map(str, put)), sorted(delete)) in applied:
         return "replay"
-    touched = [(value["kind"], value["id"]) for value in put] + delete
-    if any(state[key][0] >= change.number for key in touched if key in state):
+    changed_keys = [(value["kind"], value["id"]) for value in put] + delete
+    if any(state[key][0] >= change.number for key in changed_keys if key in state):
         return "conflict"
-    if len(set(touched)) != len(touched) or not touched:
+    if len(set(changed_keys)) != len(changed_keys) or not changed_keys:
         return "invalid"
     if any(state.get(key, (0, None))[1] is None for key in delete):
         return "invalid"
@@ -74,7 +74,7 @@
     @settings(derandomize=True, deadline=None, max_examples=300)
     @given(st.lists(TICKETS, max_size=12))
     def test_agrees_with_the_reference(self, changes):
-        """Guards against a decision that differs from the plain rules."""
+        """Guards against decisions that differ from the reference implementation."""
         state: dict[tuple[str, str], Any] = {}
         applied: list[Any] = []
         objects: dict[tuple[str, str], Versioned] = {}
@@ -109,7 +109,7 @@
             self.assertEqual(expected, found)
 
     def test_every_reason_is_reported_at_once(self):
-        """Guards against an operator who finds one fault per attempt."""
+        """Guards against reporting only the first of several errors."""
         view = CatalogView(
             {
                 ("pool", "p"): Versioned("pool", "p", 1, pool("p")),
@@ -118,7 +118,9 @@
             },
             domains=("d1",),
         )
-        narrow = endpoint("e3", "q", 8).model_copy(update={"window_initial": 90})
+        invalid_window = endpoint("e3", "q", 8).model_copy(
+            update={"window_initial": 90}
+        )
         change = ticket(
             2,
             organisation("a", 1, 2),
@@ -127,13 +129,13 @@
             service("t", "q", "a", "nobody"),
             endpoint("e1", "q", 7),
             endpoint("e2", "q", 7, domain="d9"),
-            narrow,
+            invalid_window,
             delete=(("pool", "p"), ("organisation", "gone")),
         )
         error = self.assertRaises(TicketInvalidError, plan_ticket, view, change)
         expected = [
             "organisation 'b' occurs 2 times in the ticket",
-            "organisation 'gone' is to be deleted and does not exist",
+            "organisation 'gone' cannot be deleted: it does not exist",
             "service 's' names missing pool 'p'",
             "service 't' names missing pool 'q'",
             "service 't' names missing organisation 'nobody'",
@@ -147,8 +149,8 @@
         ]
         self.assertEqual(sorted(expected), sorted(error.reasons))
 
-    def test_digest_ignores_order_and_sees_content(self):
-        """Guards against a replay that is missed, or another ticket taken for one."""
+    def test_digest_depends_on_content_but_not_order(self):
+        """Guards against a missed replay, or a different ticket treated as a replay."""
         first = ticket(1, pool("a"), pool("b"))
         self.assertEqual(
             ticket_digest(first), ticket_digest(ticket(1, *first.put[::-1]))
--- a/borageworks/catalog/tests/test_replica.py
+++ b/borageworks/catalog/tests/test_replica.py
@@ -1,4 +1,4 @@
-"""Tests of the replica, against a naive reference dictionary."""
+"""Tests of the replica, compared with a reference dictionary."""
 
 import zlib
 from functools import partial
@@ -11,8 +11,8 @@
 from borageworks.catalog import bucket as bucket_module
 from borageworks.catalog.bucket import Bucket
 from borageworks.catalog.buckets import BUCKETS, bucket_of
-from borageworks.catalog.digest import Digest
 from borageworks.catalog.replica import Replica
+from borageworks.catalog.replica_digest import ReplicaDigest
 from borageworks.catalog.tests.builders import (
     endpoint,
     key_hash,
@@ -27,8 +27,8 @@
 NUMBERS = st.integers(1, 9)
 
 
-def deterministic(name, kind, number):
-    """Return the one state that ticket `number` gives to the object."""
+def state_from_ticket(name, kind, number):
+    """Return the state that ticket `number` always gives to the object."""
     values: dict[str, Any] = {
         "organisation": organisation(name, number, number + 1, share=number),
         "pool": pool(name),
@@ -40,7 +40,7 @@
 
 
 OBJECTS = st.builds(
-    deterministic,
+    state_from_ticket,
     NAMES,
     st.sampled_from(["organisation", "pool", "service", "endpoint"]),
     NUMBERS,
@@ -69,12 +69,12 @@
             index = getattr(replica, f"{kind}s")
             self.assertEqual({i.id: i.value for i in live if i.kind == kind}, index)
         for number in range(1, 12):
-            holders = [
+            matches = [
                 (item.ticket, item.id, item.value)
                 for item in live
                 if key_hash(number) in getattr(item.value, "keys", ())
             ]
-            expected = max(holders, key=lambda h: h[:2])[2] if holders else None
+            expected = max(matches, key=lambda h: h[:2])[2] if matches else None
             found = replica.organisation_by_key(key_hash(number))
             self.assertEqual(expected, found)
         for name in ("n0", "n1", "n2"):
@@ -92,19 +92,25 @@
                 {item.key: item for item in replica.bucket(index)},
             )
 
-    def test_missing_names_only_differing_buckets(self):
-        """Guards against pulling everything for one change, or nothing at all."""
+    def test_differing_buckets_are_exact(self):
+        """Guards against pulling all buckets for one change, or none."""
         one, other = Replica(), Replica()
-        one.merge([deterministic("n1", "pool", 1), deterministic("n2", "pool", 1)])
-        other.merge([deterministic("n1", "pool", 1), deterministic("n2", "pool", 2)])
-        self.assertEqual([bucket_of("pool", "n2")], one.missing(other.digest()))
-        self.assertEqual([], one.missing(Digest(0, ())))
-
-    def test_revision_never_falls(self):
+        one.merge(
+            [state_from_ticket("n1", "pool", 1), state_from_ticket("n2", "pool", 1)]
+        )
+        other.merge(
+            [state_from_ticket("n1", "pool", 1), state_from_ticket("n2", "pool", 2)]
+        )
+        self.assertEqual(
+            [bucket_of("pool", "n2")], one.differing_buckets(other.digest())
+        )
+        self.assertEqual([], one.differing_buckets(ReplicaDigest(0, ())))
+
+    def test_revision_never_decreases(self):
         """Guards against a complete replica that reports an older revision."""
         replica = Replica()
-        replica.note_revision(7)
-        replica.note_revision(3)
+        replica.advance_revision(7)
+        replica.advance_revision(3)
         self.assertEqual((7, 0), replica.version())
 
 
@@ -112,7 +118,7 @@
     @settings(derandomize=True, deadline=None)
     @given(st.lists(OBJECTS, max_size=5))
     def test_round_trip(self, objects):
-        """Guards against an object that changes on its way to another instance."""
+        """Guards against encodings that alter an object."""
         bucket = Bucket(7, tuple(objects), 9)
         self.assertEqual(bucket, Bucket.decode(bucket.encode(), 9))
         replica = Replica()
@@ -135,14 +141,14 @@
         st.booleans(),
     )
     def test_generated_bytes_give_only_typed_errors(self, data, compressed):
-        """Guards against a peer or a damaged value that stops the process."""
+        """Guards against malformed messages or stored values that stop the process."""
         if compressed:
             data = zlib.compress(data)
         expected: dict[Any, type[Exception]] = {
             Versioned.decode: MessageMalformedError,
             partial(Bucket.decode, mod_revision=1): StoreReplyMalformedError,
             partial(
-                Bucket.decode, mod_revision=1, known=Replica().get
+                Bucket.decode, mod_revision=1, lookup=Replica().get
             ): StoreReplyMalformedError,
         }
         for decode, kind in expected.items():
@@ -151,8 +157,8 @@
             except kind as error:
                 self.assertIn(" bytes: ", str(error))
 
-    def test_values_that_grow_without_bound_are_refused(self):
-        """Guards against a small stored value that takes all memory."""
+    def test_values_with_excessive_decompressed_size_are_rejected(self):
+        """Guards against a small stored value that decompresses to fill memory."""
         self.patch(bucket_module, "DOCUMENT_LIMIT_BYTES", 1000)
         data = zlib.compress(b" " * 100_000)
         error = self.assertRaises(StoreReplyMalformedError, Bucket.decode, data, 1)
--- a/borageworks/catalog/tests/test_tickets.py
+++ b/borageworks/catalog/tests/test_tickets.py
@@ -1,4 +1,4 @@
-"""Tests of applying tickets to a store that races, loses replies and fails."""
+"""Tests of applying tickets with races, lost replies and store failures."""
 
 import asyncio
 
@@ -29,7 +29,7 @@
 
 
 def apply(store, change):
-    """Apply a ticket on a loop of its own."""
+    """Apply a ticket on a new event loop."""
     return asyncio.run(apply_ticket(store, PREFIX, change))
 
 
@@ -38,7 +38,7 @@
         super().setUp()
         self.patch(tickets_module, "RACE_PAUSE_S", 0.0)
 
-    def stored(self, store):
+    def stored_tickets(self, store):
         state = asyncio.run(read_state(store, CatalogKeys(PREFIX)))
         return {item.key: item.ticket for item in state.objects()}
 
@@ -50,7 +50,7 @@
         again = apply(store, ticket(5, organisation("a"), pool("p")))
         self.assertEqual(TicketResult(5, first.revision, True), again)
         self.assertEqual(
-            {("pool", "p"): 5, ("organisation", "a"): 6}, self.stored(store)
+            {("pool", "p"): 5, ("organisation", "a"): 6}, self.stored_tickets(store)
         )
 
     def test_other_content_under_a_used_number_conflicts(self):
@@ -61,17 +61,17 @@
         error = self.assertRaises(TicketConflictError, apply, store, changed)
         self.assertIn("organisation 'a' has ticket 5", str(error))
 
-    def test_lost_replies_are_settled(self):
+    def test_lost_replies_are_resolved(self):
         """Guards against a ticket reported failed that took effect, or the reverse."""
-        for lost in (["after"], ["before"], ["late"], ["before", "after", "late"]):
-            store = FakeStore(lost_replies=list(lost))
+        for faults in (["after"], ["before"], ["late"], ["before", "after", "late"]):
+            store = FakeStore(lost_replies=list(faults))
             result = apply(store, ticket(5, organisation("a")))
             head = store.values[CatalogKeys(PREFIX).head]
             self.assertEqual(TicketResult(5, head.mod_revision, False), result)
             self.assertEqual(1, Head.decode(head.value).tickets)
 
     def test_store_down_after_a_lost_reply_is_not_reported_as_not_applied(self):
-        """Guards against `nothing was written` for a ticket that took effect."""
+        """Guards against reporting a ticket as not accepted although it took effect."""
 
         class FailingStore(FakeStore):
             async def commit(self, transaction):
@@ -86,8 +86,8 @@
         store.down = False
         self.assertTrue(apply(store, change).replayed)
 
-    def test_settled_loss_is_not_reported_as_unknown(self):
-        """Guards against an unknown outcome where the ticket can take no effect."""
+    def test_resolved_loss_is_not_reported_as_unknown(self):
+        """Guards against an unknown outcome if the ticket can no longer take effect."""
 
         class BusyStore(FakeStore):
             async def commit(self, transaction):
@@ -96,7 +96,7 @@
                 try:
                     return await super().commit(transaction)
                 finally:
-                    # Another ticket moves the head past the lost one.
+                    # Another ticket advances the head; the lost commit can't succeed.
                     self.revision += 1
                     head = StoredValue(Head().encode(), self.revision)
                     self.values[CatalogKeys(PREFIX).head] = head
@@ -105,23 +105,23 @@
         change = ticket(5, organisation("a"))
         self.assertRaises(StoreUnavailableError, apply, store, change)
 
-    def test_every_reply_lost_ends_as_unknown(self):
-        """Guards against an endless loop and against a wrong final report."""
+    def test_all_replies_lost_is_reported_as_unknown(self):
+        """Guards against endless retries and against a wrong final error."""
         store = FakeStore(lost_replies=["before"] * 100)
         change = ticket(5, organisation("a"))
         self.assertRaises(StoreOutcomeUnknownError, apply, store, change)
         self.assertEqual(tickets_module.MAX_ATTEMPTS, store.calls["commit"])
 
     def test_store_down_is_reported_at_once(self):
-        """Guards against waiting out attempts while nothing can be written."""
+        """Guards against useless retries while nothing can be written."""
         store = FakeStore()
         store.down = True
         change = ticket(5, organisation("a"))
         self.assertRaises(StoreUnavailableError, apply, store, change)
         self.assertEqual(1, sum(store.calls.values()))
 
-    def test_racing_operators_in_one_bucket_all_succeed(self):
-        """Guards against a lost update and against a needless conflict."""
+    def test_concurrent_operators_in_one_bucket_all_succeed(self):
+        """Guards against lost updates and unnecessary conflicts."""
         store = FakeStore()
 
         async def race():
@@ -134,16 +134,16 @@
 
         results = asyncio.run(race())
         self.assertEqual(6, len({result.revision for result in results}))
-        self.assertEqual(6, len(self.stored(store)))
+        self.assertEqual(6, len(self.stored_tickets(store)))
 
     @settings(derandomize=True, deadline=None, max_examples=60)
     @given(
         st.lists(st.tuples(st.integers(1, 5), st.integers(1, 3)), max_size=6),
         st.lists(st.sampled_from([None, "before", "after", "late"]), max_size=6),
     )
-    def test_racing_operators_leave_one_order(self, changes, lost):
-        """Guards against races and lost replies that leave a state no order gives."""
-        store = FakeStore(lost_replies=lost)
+    def test_concurrent_operators_leave_a_sequential_state(self, changes, faults):
+        """Guards against a state that no sequential order of the tickets would give."""
+        store = FakeStore(lost_replies=faults)
 
         async def race():
             return await asyncio.gather(
@@ -173,8 +173,8 @@
             self.assertEqual(ordered[-1], (item.ticket, item.value.share))
             self.assertEqual(max(changes)[0], item.ticket)
 
-    def test_lost_races_end_as_a_conflict(self):
-        """Guards against an endless loop under a steady stream of other tickets."""
+    def test_lost_races_end_with_a_conflict(self):
+        """Guards against endless retries under a steady stream of other tickets."""
 
         class BusyStore(FakeStore):
             async def get(self, key):
@@ -187,10 +187,10 @@
         store = BusyStore()
         change = ticket(5, organisation("a"))
         error = self.assertRaises(TicketConflictError, apply, store, change)
-        self.assertIn("races", str(error))
+        self.assertIn("accepted first", str(error))
 
-    def test_oversized_bucket_is_refused(self):
-        """Guards against a value that the store rejects after the plan."""
+    def test_oversized_bucket_is_rejected(self):
+        """Guards against planning a value that the store would refuse."""
         self.patch(tickets_module, "VALUE_LIMIT_BYTES", 100)
         store = FakeStore()
         change = ticket(5, organisation("a", 1, 2, 3, 4, 5, 6))
@@ -200,7 +200,7 @@
 
     def test_ticket_records_are_bounded(self):
         """Guards against a store that grows with every ticket."""
-        self.patch(keys_module, "REPLAY_RECORDS", 3)
+        self.patch(keys_module, "TICKET_RECORD_COUNT", 3)
         store = FakeStore()
         for number in range(1, 11):
             apply(store, ticket(number, organisation("a")))
@@ -211,7 +211,7 @@
     @settings(derandomize=True, deadline=None)
     @given(st.binary(max_size=40) | st.just(Head().encode()[:-1]))
     def test_malformed_stored_values_are_typed_errors(self, data):
-        """Guards against an untyped failure when the stored state is damaged."""
+        """Guards against untyped errors if the stored configuration is corrupt."""
         for key in (CatalogKeys(PREFIX).head, CatalogKeys(PREFIX).bucket(3)):
             store = FakeStore()
             store.values[key] = StoredValue(data, 1)
--- a/borageworks/catalog/tickets.py
+++ b/borageworks/catalog/tickets.py
@@ -26,8 +26,8 @@
 from borageworks.store.store import Store
 from borageworks.store.values import Transaction
 
-# Each round of a race lets one ticket through, so this many operators can submit at
-# once before one of them has to apply its ticket again.
+# Of the tickets that compete for one head revision, one is accepted per attempt. So
+# this many operators can apply tickets at once before one of them gets a conflict.
 MAX_ATTEMPTS = 16
 RACE_PAUSE_S = 0.05
 
@@ -44,7 +44,7 @@
     number
         Number of the ticket.
     revision
-        Store revision from which it is in force.
+        Store revision from which it is in effect.
     replayed
         Whether it had been accepted before this call.
     """
@@ -61,7 +61,7 @@
     *,
     domains: Collection[str] | None = None,
 ) -> TicketResult:
-    """Apply a ticket, or return the result that the same ticket had before.
+    """Apply a ticket, or return its earlier result if it was accepted before.
 
     Parameters
     ----------
@@ -70,7 +70,7 @@
     prefix
         Prefix of the configuration's keys, `borageworks.catalog.keys.CATALOG_PREFIX`.
     ticket
-        The change.
+        Change to apply.
     domains
         Failure domains that endpoints may name, or None to accept any.
 
@@ -82,27 +82,27 @@
         If an object has the ticket's number or a higher one, or if other tickets were
         accepted first in each of `MAX_ATTEMPTS` attempts.
     StoreUnavailableError
-        If the store did not answer; the ticket was not accepted.
+        If the store did not reply; the ticket was not accepted.
     StoreOutcomeUnknownError
-        If a reply was lost and the store did not answer the question for the outcome;
-        applying the same ticket again settles it.
+        If a reply was lost and the outcome could not be read afterwards; applying the
+        same ticket again determines it.
     """
     keys = CatalogKeys(prefix)
     digest = ticket_digest(ticket)
     state: StoredState | None = None
-    # Error of a commit that may still take effect, and the head that it compares.
-    unsettled: StoreOutcomeUnknownError | None = None
-    unsettled_head = 0
+    # Error of a commit that may still take effect, and the head revision it compares.
+    unknown_outcome: StoreOutcomeUnknownError | None = None
+    unknown_outcome_head = 0
     for attempt in range(MAX_ATTEMPTS):
         if attempt:
             await asyncio.sleep(random.uniform(0, RACE_PAUSE_S * attempt))
         try:
             state = await read_state(store, keys, state)
-            # Read after the state: a ticket accepted in between is then seen as
-            # accepted, not as a conflict with its own objects.
-            record = await store.get(keys.record(digest))
-            if record is None and state.head_revision != unsettled_head:
-                unsettled = None
+            # Read after the state, so that a ticket accepted in between is seen as
+            # accepted and not as a conflict with its own objects.
+            record = await store.get(keys.ticket_record(digest))
+            if record is None and state.head_revision != unknown_outcome_head:
+                unknown_outcome = None
             plan = plan_ticket(
                 CatalogView(
                     {item.key: item for item in state.objects()},
@@ -113,57 +113,58 @@
             )
             if plan.replayed_revision is not None:
                 return TicketResult(
-                    ticket.number, plan.replayed_revision, unsettled is None
+                    ticket.number, plan.replayed_revision, unknown_outcome is None
                 )
-            transaction = await _transaction(store, keys, state, plan)
+            transaction = await _build_transaction(store, keys, state, plan)
             result = await store.commit(transaction)
         except StoreOutcomeUnknownError as error:
-            # A late commit and a repeated one compare the same head revision, so at
-            # most one of them succeeds.
-            unsettled = error
+            # A delayed commit and its retry compare the same head revision, so at most
+            # one of them succeeds.
+            unknown_outcome = error
             if state is not None:
-                unsettled_head = state.head_revision
+                unknown_outcome_head = state.head_revision
             continue
         except StoreUnavailableError as error:
-            if unsettled is not None:
+            if unknown_outcome is not None:
                 raise StoreOutcomeUnknownError(
                     f"ticket {ticket.number}: the outcome could not be read: {error}"
                 ) from error
             raise
         if result.succeeded:
             return TicketResult(ticket.number, result.revision, False)
-    if unsettled is not None:
+    if unknown_outcome is not None:
         raise StoreOutcomeUnknownError(
-            f"ticket {ticket.number}: no reply in {MAX_ATTEMPTS} attempts: {unsettled}"
+            f"ticket {ticket.number}: no reply in {MAX_ATTEMPTS} attempts: "
+            f"{unknown_outcome}"
         )
     raise TicketConflictError(
-        f"ticket {ticket.number} lost {MAX_ATTEMPTS} races with other tickets; "
-        "apply it again"
+        f"ticket {ticket.number}: other tickets were accepted first in each of "
+        f"{MAX_ATTEMPTS} attempts; apply it again"
     )
 
 
-async def _transaction(
+async def _build_transaction(
     store: Store, keys: CatalogKeys, state: StoredState, plan: TicketPlan
 ) -> Transaction:
-    touched = plan.touched_buckets
-    head = state.head.advance(state.head_revision, touched)
-    slot_key = keys.record_slot(head.tickets)
+    changed_buckets = plan.changed_buckets
+    head = state.head.advance(state.head_revision, changed_buckets)
+    slot_key = keys.ticket_record_slot(head.tickets)
     # Slots change only together with the head, so comparing the head protects them.
     slot = await store.get(slot_key)
     compares = {keys.head: state.head_revision}
     puts = {
         keys.head: head.encode(),
-        keys.record(plan.digest): orjson.dumps(
+        keys.ticket_record(plan.digest): orjson.dumps(
             {"number": plan.number, "digest": plan.digest, "tickets": head.tickets}
         ),
         slot_key: plan.digest.encode(),
     }
     reasons = []
-    for index in touched:
+    for index in changed_buckets:
         bucket = state.buckets[index]
         compares[keys.bucket(index)] = bucket.mod_revision
-        changed = _changed(bucket.objects, plan, index)
-        value = Bucket(head.tickets, changed).encode()
+        objects = _merge_changes(bucket.objects, plan, index)
+        value = Bucket(head.tickets, objects).encode()
         puts[keys.bucket(index)] = value
         if len(value) >= VALUE_LIMIT_BYTES:
             reasons.append(
@@ -172,11 +173,11 @@
             )
     if reasons:
         raise TicketInvalidError(tuple(reasons))
-    deletes = () if slot is None else (keys.record(slot.value.decode()),)
+    deletes = () if slot is None else (keys.ticket_record(slot.value.decode()),)
     return Transaction(compares, puts, deletes)
 
 
-def _changed(
+def _merge_changes(
     objects: tuple[Versioned, ...], plan: TicketPlan, index: int
 ) -> tuple[Versioned, ...]:
     merged = {item.key: item for item in objects}
--- a/borageworks/catalog/versioned.py
+++ b/borageworks/catalog/versioned.py
@@ -19,7 +19,7 @@
 from borageworks.exceptions import MessageMalformedError
 
 
-class Record(BaseModel):
+class VersionedDocument(BaseModel):
     """JSON form of `Versioned`: exactly one of `put` and `delete`."""
 
     model_config = ConfigDict(frozen=True, extra="forbid")
@@ -29,13 +29,13 @@
     delete: ObjectRef | None = None
 
     @model_validator(mode="after")
-    def _one_change(self) -> Record:
+    def _check_one_change(self) -> VersionedDocument:
         if (self.put is None) == (self.delete is None):
-            raise ValueError("exactly one of put and delete is needed")
+            raise ValueError("exactly one of put and delete is required")
         return self
 
-    def state(self) -> Versioned:
-        """Return the state that this record describes."""
+    def to_versioned(self) -> Versioned:
+        """Return the state that this document describes."""
         if self.put is not None:
             return Versioned(self.put.kind, self.put.id, self.ticket, self.put)
         assert self.delete is not None
@@ -51,7 +51,7 @@
     kind, id
         Identity of the object.
     ticket
-        Number of the ticket that set this state; it only grows for one object.
+        Number of the ticket that set this state; it only increases for an object.
     value
         The object, or None after its deletion.
     """
@@ -67,9 +67,9 @@
         return self.kind, self.id
 
     def record(self) -> dict[str, Any]:
-        """Return the JSON form, with every field written out.
+        """Return the JSON form, with every field included.
 
-        Defaults are written too, so a release with another default does not change an
+        Defaults are included, so a release with another default does not change an
         accepted object.
         """
         if self.value is None:
@@ -93,15 +93,15 @@
             If the text is not the JSON form of an object's state.
         """
         try:
-            record = Record.model_validate_json(data, strict=True)
+            document = VersionedDocument.model_validate_json(data, strict=True)
         except ValidationError as error:
             raise MessageMalformedError(
-                f"configuration object of {len(data)} bytes: {first_reason(error)}"
+                f"configuration object of {len(data)} bytes: {first_error(error)}"
             ) from error
-        return record.state()
+        return document.to_versioned()
 
 
-def first_reason(error: ValidationError) -> str:
-    """Return the first fault of a validation error, without the input."""
+def first_error(error: ValidationError) -> str:
+    """Return the first message of a validation error, without the input."""
     first = error.errors(include_url=False, include_input=False)[0]
     return f"{'.'.join(map(str, first['loc']))}: {first['msg']}"
--- a/borageworks/catalog/view.py
+++ b/borageworks/catalog/view.py
@@ -1,4 +1,4 @@
-"""Whole configuration state that a ticket is checked against."""
+"""Complete configuration that a ticket is checked against."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
     ----------
     objects
         Objects and tombstones by (kind, id).
-    applied
-        Store revision of accepted tickets by ticket digest, for replays.
+    accepted_revisions
+        Store revision of each accepted ticket by ticket digest, to detect replays.
     domains
         Failure domains that endpoints may name, or None to accept any.
     """
 
     objects: Mapping[tuple[str, str], Versioned] = field(default_factory=dict)
-    applied: Mapping[str, int] = field(default_factory=dict)
+    accepted_revisions: Mapping[str, int] = field(default_factory=dict)
     domains: Collection[str] | None = None
--- a/borageworks/catalog/watchers.py
+++ b/borageworks/catalog/watchers.py
@@ -1,4 +1,4 @@
-"""Choice of the instances that watch the platform store; pure."""
+"""Selection of the instances that watch the platform store; performs no I/O."""
 
 from __future__ import annotations
 
@@ -7,13 +7,13 @@
 
 from borageworks.routing.rendezvous import ranked
 
-# Two per domain: one can fail while the other keeps its domain current.
+# If one of the two fails, the other keeps its domain current.
 WATCHERS_PER_DOMAIN = 2
-ROLE = "catalog-watcher"
+WATCHER_ROLE = "catalog-watcher"
 
 
 class FleetMember(Protocol):
-    """What the choice needs to know of a member."""
+    """Properties of a member that the selection uses."""
 
     @property
     def id(self) -> str:
@@ -24,10 +24,10 @@
         """Failure domain."""
 
 
-def watchers(domain: str, members: Iterable[FleetMember]) -> tuple[str, ...]:
-    """Return the instances of a domain that watch, by rendezvous hash.
+def select_watchers(domain: str, members: Iterable[FleetMember]) -> tuple[str, ...]:
+    """Return the instances of a domain that watch the store, by rendezvous hash.
 
-    A change of members moves the role only when it adds or removes a watcher.
+    A membership change moves the role only if it adds or removes a watcher.
     """
     names = {member.id for member in members if member.domain == domain}
-    return tuple(ranked(ROLE, names)[:WATCHERS_PER_DOMAIN])
+    return tuple(ranked(WATCHER_ROLE, names)[:WATCHERS_PER_DOMAIN])
