--- a/borageworks/api/authentication.py
+++ b/borageworks/api/authentication.py
@@ -1,4 +1,4 @@
-"""Finds the organisation of a request by its API key."""
+"""Authentication of requests by API key."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from borageworks.catalog.replica import Replica
 from borageworks.exceptions import KeyUnknownError
 
-SCHEME = "bearer"
+AUTHENTICATION_SCHEME = "bearer"
 
 
 def authenticate(request: web.Request, replica: Replica) -> Organisation:
@@ -22,11 +22,13 @@
         If the key is missing, malformed or unknown.
     """
     scheme, _, key = request.headers.get("Authorization", "").partition(" ")
-    if scheme.lower() != SCHEME or not key:
-        raise KeyUnknownError("the request needs 'Authorization: Bearer KEY'")
+    if scheme.lower() != AUTHENTICATION_SCHEME or not key:
+        raise KeyUnknownError(
+            "no API key: expected the header 'Authorization: Bearer KEY'"
+        )
     organisation = replica.organisation_by_key(
         hashlib.sha256(key.strip().encode()).hexdigest()
     )
     if organisation is None:
-        raise KeyUnknownError("the API key belongs to no organisation")
+        raise KeyUnknownError("unknown API key")
     return organisation
--- a/borageworks/api/frontend.py
+++ b/borageworks/api/backend.py
@@ -1,4 +1,4 @@
-"""What the HTTP interface needs from the daemon."""
+"""Interface that the HTTP server requires of the router."""
 
 from __future__ import annotations
 
@@ -8,14 +8,14 @@
 from borageworks.endpoints.call import Call
 
 
-class Frontend(Protocol):
-    """Runs calls and tells the state of the instance."""
+class Backend(Protocol):
+    """Runs calls and reports the state of the instance."""
 
     async def run(self, call: Call, sink: ResponseSink) -> None:
-        """Run a call and write its answer, or raise RefusalError."""
+        """Run a call and write its response to `sink`, or raise RefusalError."""
 
     def lacking(self) -> list[str]:
-        """Return why the instance is not ready; empty when it is."""
+        """Return the reasons why the instance is not ready; empty if it is ready."""
 
     def status(self) -> dict[str, Any]:
         """Return the state of the instance for operators."""
--- a/borageworks/api/completion.py
+++ b/borageworks/api/completion.py
@@ -1,4 +1,4 @@
-"""Validates the body of a chat completion request."""
+"""Validation of the body of a chat completion request."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class StreamOptions(BaseModel):
-    """Options of a streamed answer."""
+    """Options of a streamed response."""
 
     model_config = ConfigDict(extra="allow")
 
@@ -19,7 +19,7 @@
 
 
 class CompletionRequest(BaseModel):
-    """The members that a router reads; engines check the others."""
+    """Fields that the router reads; engines validate the others."""
 
     model_config = ConfigDict(extra="allow")
 
@@ -30,14 +30,14 @@
 
     @property
     def wants_usage(self) -> bool:
-        """Whether the caller asked for a usage event."""
+        """Whether the caller asked for a usage event at the end of the stream."""
         return self.stream_options is not None and self.stream_options.include_usage
 
 
 def parse_completion(body: bytes) -> tuple[CompletionRequest, bytes]:
-    """Return the validated request and the body to send to an engine.
+    """Return the validated request and the body to forward to an engine.
 
-    A streamed request always asks the engine for its usage event, from which the
+    The body of a streamed request always asks for the usage event, from which the
     service units are computed.
 
     Raises
@@ -49,13 +49,13 @@
         document = orjson.loads(body)
         request = CompletionRequest.model_validate(document)
     except orjson.JSONDecodeError as error:
-        raise BodyMalformedError(f"the body is not JSON: {error}") from error
+        raise BodyMalformedError(f"request body is not JSON: {error}") from error
     except ValidationError as error:
         reasons = "; ".join(
-            f"{'.'.join(str(part) for part in item['loc'])}: {item['msg']}"
+            f"{'.'.join(str(key) for key in item['loc'])}: {item['msg']}"
             for item in error.errors()
         )
-        raise BodyMalformedError(f"the body is invalid: {reasons}") from error
+        raise BodyMalformedError(f"request body is invalid: {reasons}") from error
     if request.stream and not request.wants_usage:
         options = document.get("stream_options") or {}
         document["stream_options"] = {**options, "include_usage": True}
--- a/borageworks/api/problem.py
+++ b/borageworks/api/problem.py
@@ -1,4 +1,4 @@
-"""Error answers in the problem+json form of RFC 9457."""
+"""Error responses as problem details (RFC 9457)."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 def problem_body(refusal: RefusalError, request_id: str) -> dict[str, Any]:
-    """Return the members of the problem object.
+    """Return the problem details object of a refusal.
 
-    `error` repeats the detail in the form that model clients show.
+    `error` repeats the detail in the format that clients of model APIs display.
     """
     return {
         "type": "about:blank",
@@ -35,7 +35,7 @@
 
 
 def problem_response(refusal: RefusalError, request_id: str) -> web.Response:
-    """Return the answer for a refused request."""
+    """Return the response to a refused request."""
     headers = {"X-Request-Id": request_id}
     if refusal.retry_after is not None:
         headers["Retry-After"] = str(math.ceil(refusal.retry_after))
@@ -48,5 +48,5 @@
 
 
 def problem_event(refusal: RefusalError, request_id: str) -> bytes:
-    """Return the event that ends a stream that cannot be completed."""
+    """Return the server-sent event that reports the failure of an open stream."""
     return b"data: " + orjson.dumps(problem_body(refusal, request_id)) + b"\n\n"
--- a/borageworks/api/protocol.py
+++ b/borageworks/api/protocol.py
@@ -1,4 +1,4 @@
-"""HTTP connection whose own error answers are problem objects too."""
+"""HTTP connection that reports parse errors as problem details."""
 
 from __future__ import annotations
 
@@ -13,17 +13,17 @@
 
 INTERNAL_SERVER_ERROR = 500
 MAX_LINE_BYTES = 8_190
-# Longer than common balancers keep idle connections.
-IDLE_TIMEOUT_S = 3630.0
+# Longer than the idle timeout of common load balancers.
+KEEP_ALIVE_TIMEOUT_S = 3630.0
 
-CountRefusal = Callable[[RefusalError], None]
+RefusalCounter = Callable[[RefusalError], None]
 
 
 class CallerProtocol(web.RequestHandler):
-    """Connection of one caller.
+    """HTTP connection of one caller.
 
-    The HTTP library answers requests that it cannot parse with plain text; this class
-    answers them like every other refusal and counts them.
+    aiohttp responds in plain text to requests that it cannot parse; this class sends
+    the same problem details as for every other refusal, and counts the refusal.
     """
 
     __slots__ = ("_count_refusal", "answering")
@@ -32,15 +32,15 @@
         self,
         server: web.Server,
         loop: asyncio.AbstractEventLoop,
-        count_refusal: CountRefusal,
+        count_refusal: RefusalCounter,
         *,
         line_bytes: int = MAX_LINE_BYTES,
-        idle_timeout_s: float = IDLE_TIMEOUT_S,
+        idle_timeout_s: float = KEEP_ALIVE_TIMEOUT_S,
     ) -> None:
         super().__init__(
             server,
             loop=loop,
-            access_log=None,  # type: ignore[arg-type]  # its type omits None
+            access_log=None,  # type: ignore[arg-type]  # the annotation omits None
             max_line_size=line_bytes,
             max_field_size=line_bytes,
             keepalive_timeout=idle_timeout_s,
@@ -50,7 +50,7 @@
         self.answering = False
 
     def close_if_idle(self) -> None:
-        """Close the connection unless a request is being answered on it."""
+        """Close the connection unless a request is in progress on it."""
         if not self.answering and self.transport is not None:
             self.transport.close()
 
@@ -61,16 +61,20 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> web.StreamResponse:
-        """Answer a request that could not be parsed, or whose handler failed."""
+        """Respond to a request that could not be parsed or whose handler failed."""
         if request.writer.output_size > 0:
-            raise ConnectionError("the answer was already begun")
+            raise ConnectionError(
+                "cannot send an error: the response has already begun"
+            )
         refusal: RefusalError
         if status == INTERNAL_SERVER_ERROR:
             emit(Event.TASK_FAILED, task="request", error=repr(exc))
-            refusal = UnexpectedError("the router failed; its log has the reason")
+            refusal = UnexpectedError("internal error of the router; see its log")
         else:
             reason = (message or "").partition("\n")[0].rstrip(":")
-            refusal = RequestMalformedError(reason or "the request cannot be parsed")
+            refusal = RequestMalformedError(
+                reason or "the HTTP request cannot be parsed"
+            )
         self._count_refusal(refusal)
         response = problem_response(refusal, "")
         response.force_close()
--- a/borageworks/api/server.py
+++ b/borageworks/api/server.py
@@ -1,4 +1,4 @@
-"""HTTP interface for callers, the balancer and the metrics scraper."""
+"""HTTP server for callers, the load balancer and the metrics scraper."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 from aiohttp import web
 
 from borageworks.api.authentication import authenticate
+from borageworks.api.backend import Backend
 from borageworks.api.completion import parse_completion
-from borageworks.api.frontend import Frontend
 from borageworks.api.problem import problem_event, problem_response
 from borageworks.api.protocol import CallerProtocol
 from borageworks.api.sink import ResponseSink
@@ -38,70 +38,70 @@
 from borageworks.metrics import Metrics
 
 COMPLETIONS_PATH = "/v1/chat/completions"
-BACKLOG = 1024
-LARGEST_BODY_BYTES = 64 * 1_048_576
+LISTEN_BACKLOG = 1024
+MAX_BODY_BYTES = 64 * 1_048_576
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 REQUEST_ID = web.RequestKey("request_id", str)
 
 
 class Server:
-    """The HTTP interface of one instance.
+    """HTTP server of one instance.
 
     Parameters
     ----------
     settings
         Address and name of the instance.
     replica
-        Configuration in force.
-    frontend
-        Runs the calls.
+        Configuration in effect.
+    backend
+        Runs the calls and reports the state of the instance.
     metrics
         Counters of requests and refusals.
     """
 
     def __init__(
-        self, settings: Settings, replica: Replica, frontend: Frontend, metrics: Metrics
+        self, settings: Settings, replica: Replica, backend: Backend, metrics: Metrics
     ) -> None:
         self._settings = settings
         self._replica = replica
-        self._frontend = frontend
+        self._backend = backend
         self._metrics = metrics
-        # A restarted instance must not repeat ids that endpoints still know.
-        self._prefix = f"{settings.instance}-{secrets.token_hex(4)}"
-        self._sequence = itertools.count(1)
+        # A restarted instance must not reuse request ids that endpoints still remember.
+        self._request_id_prefix = f"{settings.instance}-{secrets.token_hex(4)}"
+        self._request_numbers = itertools.count(1)
         self._runner: web.AppRunner | None = None
         self._listener: asyncio.Server | None = None
         self._address = settings.listen.pair
 
     @property
     def address(self) -> tuple[str, int]:
-        """Bound address."""
+        """Address that the server listens on."""
         return self._address
 
     async def start(self) -> None:
-        """Listen for callers."""
+        """Start to accept connections."""
         app = web.Application(
-            middlewares=[self._errors], client_max_size=LARGEST_BODY_BYTES
+            middlewares=[self._handle_errors], client_max_size=MAX_BODY_BYTES
         )
         app.router.add_post(COMPLETIONS_PATH, self._completions)
         app.router.add_get("/v1/models", self._models)
         app.router.add_get("/v1/models/{model}", self._model)
-        app.router.add_route("*", "/services/{service}", self._plain)
-        app.router.add_route("*", "/services/{service}/{path:.*}", self._plain)
-        app.router.add_get("/readyz", self._ready)
-        app.router.add_get("/livez", self._live)
-        app.router.add_get("/metrics", self._metrics_text)
+        app.router.add_route("*", "/services/{service}", self._plain_service)
+        app.router.add_route("*", "/services/{service}/{path:.*}", self._plain_service)
+        app.router.add_get("/readyz", self._readiness)
+        app.router.add_get("/livez", self._liveness)
+        app.router.add_get("/metrics", self._metrics_page)
         app.router.add_get("/status", self._status)
         self._runner = web.AppRunner(app, handler_cancellation=True)
         await self._runner.setup()
         host, port = self._settings.listen.pair
         self._listener = await asyncio.get_running_loop().create_server(
-            self._connect, host, port, backlog=BACKLOG
+            self._connect, host, port, backlog=LISTEN_BACKLOG
         )
         self._address = self._listener.sockets[0].getsockname()[:2]
 
     async def stop_accepting(self) -> None:
-        """Close the listening socket; open connections go on."""
+        """Close the listening socket; open connections continue."""
         if self._listener is not None:
             self._listener.close()
             self._listener = None
@@ -122,18 +122,18 @@
         self._metrics.count("refusals", refusal.code)
 
     @web.middleware
-    async def _errors(self, request: web.Request, handler: Handler) -> Any:
-        request_id = f"{self._prefix}-{next(self._sequence)}"
+    async def _handle_errors(self, request: web.Request, handler: Handler) -> Any:
+        request_id = f"{self._request_id_prefix}-{next(self._request_numbers)}"
         request[REQUEST_ID] = request_id
         self._metrics.count("requests")
         try:
             return await handler(request)
         except RefusalError as refusal:
-            return self._refused(refusal, request_id)
+            return self._refusal_response(refusal, request_id)
         except web.HTTPException as error:
-            return self._refused(_refusal_for(error, request), request_id)
+            return self._refusal_response(_refusal_from(error, request), request_id)
 
-    def _refused(self, refusal: RefusalError, request_id: str) -> web.Response:
+    def _refusal_response(self, refusal: RefusalError, request_id: str) -> web.Response:
         self._count_refusal(refusal)
         emit(
             Event.REQUEST_REFUSED,
@@ -145,10 +145,10 @@
         return problem_response(refusal, request_id)
 
     async def _completions(self, request: web.Request) -> web.StreamResponse:
-        organisation = self._organisation(request)
+        organisation = self._authenticate(request)
         completion, body = parse_completion(await _read_body(request))
-        service = self._service(completion.model, organisation, PoolKind.ENGINE)
-        _check_size(body, service)
+        service = self._find_service(completion.model, organisation, PoolKind.ENGINE)
+        _check_body_size(body, service)
         call = Call(
             request_id=request[REQUEST_ID],
             organisation=organisation.id,
@@ -161,15 +161,15 @@
             wants_usage=completion.wants_usage,
             idempotency_key=request.headers.get("Idempotency-Key"),
         )
-        return await self._run(request, call)
+        return await self._run_call(request, call)
 
-    async def _plain(self, request: web.Request) -> web.StreamResponse:
-        organisation = self._organisation(request)
-        service = self._service(
+    async def _plain_service(self, request: web.Request) -> web.StreamResponse:
+        organisation = self._authenticate(request)
+        service = self._find_service(
             request.match_info["service"], organisation, PoolKind.PLAIN
         )
         body = await _read_body(request)
-        _check_size(body, service)
+        _check_body_size(body, service)
         path = "/" + request.raw_path.removeprefix(f"/services/{service.id}").lstrip(
             "/"
         )
@@ -183,16 +183,16 @@
             body=body,
             idempotency_key=request.headers.get("Idempotency-Key"),
         )
-        return await self._run(request, call)
+        return await self._run_call(request, call)
 
-    async def _run(self, request: web.Request, call: Call) -> web.StreamResponse:
+    async def _run_call(self, request: web.Request, call: Call) -> web.StreamResponse:
         sink = ResponseSink(request, call.request_id)
         try:
-            await self._frontend.run(call, sink)
+            await self._backend.run(call, sink)
         except RefusalError as refusal:
             if not sink.started:
                 raise
-            await self._end_broken_stream(sink, call, refusal)
+            await self._abort_response(sink, call, refusal)
         except CallerFailedError as error:
             self._metrics.count("callers_lost", error.code)
             sink.abort()
@@ -200,7 +200,7 @@
                 raise web.HTTPRequestTimeout from error
         return sink.response
 
-    async def _end_broken_stream(
+    async def _abort_response(
         self, sink: ResponseSink, call: Call, refusal: RefusalError
     ) -> None:
         self._metrics.count("answers_cut", refusal.code)
@@ -217,26 +217,26 @@
                 self._metrics.count("callers_lost", error.code)
         sink.abort()
 
-    def _organisation(self, request: web.Request) -> Organisation:
+    def _authenticate(self, request: web.Request) -> Organisation:
         if not self._replica.organisations:
-            # Without a configuration every key would seem unknown.
-            reasons = self._frontend.lacking() or ["no organisation is configured"]
+            # Without a configuration every key would be refused as unknown.
+            reasons = self._backend.lacking() or ["no organisation is configured"]
             raise InstanceNotReadyError("; ".join(reasons), retry_after=1.0)
         return authenticate(request, self._replica)
 
-    def _service(
+    def _find_service(
         self, service_id: str, organisation: Organisation, kind: PoolKind
     ) -> Service:
-        lacking = self._frontend.lacking()
+        reasons = self._backend.lacking()
         service = self._replica.services.get(service_id)
-        if service is None and lacking:
-            raise InstanceNotReadyError("; ".join(lacking), retry_after=1.0)
+        if service is None and reasons:
+            raise InstanceNotReadyError("; ".join(reasons), retry_after=1.0)
         pool = self._replica.pools.get(service.pool) if service is not None else None
         if service is None or pool is None or pool.endpoints != kind:
-            raise ServiceUnknownError(f"no model or service {service_id!r}")
+            raise ServiceUnknownError(f"unknown model or service {service_id!r}")
         if not _may_use(organisation, service):
             raise ServiceForbiddenError(
-                f"organisation {organisation.id!r} may not use {service_id!r}"
+                f"organisation {organisation.id!r} may not use service {service_id!r}"
             )
         return service
 
@@ -249,42 +249,42 @@
         }
 
     async def _models(self, request: web.Request) -> web.StreamResponse:
-        organisation = self._organisation(request)
+        organisation = self._authenticate(request)
         data = [
             self._model_object(service)
             for service in self._replica.services.values()
             if _may_use(organisation, service) and self._is_model(service)
         ]
-        return _json({"object": "list", "data": data})
+        return _json_response({"object": "list", "data": data})
 
     async def _model(self, request: web.Request) -> web.StreamResponse:
-        organisation = self._organisation(request)
-        service = self._service(
+        organisation = self._authenticate(request)
+        service = self._find_service(
             request.match_info["model"], organisation, PoolKind.ENGINE
         )
-        return _json(self._model_object(service))
+        return _json_response(self._model_object(service))
 
     def _is_model(self, service: Service) -> bool:
         pool = self._replica.pools.get(service.pool)
         return pool is not None and pool.endpoints == PoolKind.ENGINE
 
-    async def _ready(self, request: web.Request) -> web.StreamResponse:
-        lacking = self._frontend.lacking()
-        return _json(
-            {"ready": not lacking, "lacking": lacking}, status=503 if lacking else 200
+    async def _readiness(self, request: web.Request) -> web.StreamResponse:
+        reasons = self._backend.lacking()
+        return _json_response(
+            {"ready": not reasons, "lacking": reasons}, status=503 if reasons else 200
         )
 
-    async def _live(self, request: web.Request) -> web.StreamResponse:
-        return _json({"live": True})
+    async def _liveness(self, request: web.Request) -> web.StreamResponse:
+        return _json_response({"live": True})
 
-    async def _metrics_text(self, request: web.Request) -> web.StreamResponse:
+    async def _metrics_page(self, request: web.Request) -> web.StreamResponse:
         return web.Response(text=self._metrics.render())
 
     async def _status(self, request: web.Request) -> web.StreamResponse:
-        return _json(self._frontend.status())
+        return _json_response(self._backend.status())
 
 
-def _json(body: dict[str, Any], status: int = 200) -> web.Response:
+def _json_response(body: dict[str, Any], status: int = 200) -> web.Response:
     return web.Response(
         status=status, body=orjson.dumps(body), content_type="application/json"
     )
@@ -294,10 +294,10 @@
     return service.organisations is None or organisation.id in service.organisations
 
 
-def _check_size(body: bytes, service: Service) -> None:
+def _check_body_size(body: bytes, service: Service) -> None:
     if len(body) > service.max_body_bytes:
         raise BodyTooLargeError(
-            f"the body has {len(body)} bytes; {service.id!r} accepts "
+            f"request body of {len(body)} bytes exceeds the limit of {service.id!r}: "
             f"{service.max_body_bytes}"
         )
 
@@ -307,16 +307,16 @@
         return await request.read()
     except web.HTTPRequestEntityTooLarge as error:
         raise BodyTooLargeError(
-            f"the body is over {LARGEST_BODY_BYTES} bytes"
+            f"request body exceeds the limit of {MAX_BODY_BYTES} bytes"
         ) from error
     except web.RequestPayloadError as error:
-        raise BodyMalformedError(f"the body is incomplete: {error}") from error
+        raise BodyMalformedError(f"request body is incomplete: {error}") from error
 
 
-def _refusal_for(error: web.HTTPException, request: web.Request) -> RefusalError:
+def _refusal_from(error: web.HTTPException, request: web.Request) -> RefusalError:
     match error.status:
         case 404:
-            return RouteUnknownError(f"no path {request.path!r}")
+            return RouteUnknownError(f"unknown path {request.path!r}")
         case 405:
             return MethodForbiddenError(
                 f"{request.path!r} does not accept {request.method}"
--- a/borageworks/api/sink.py
+++ b/borageworks/api/sink.py
@@ -1,4 +1,4 @@
-"""Writes an endpoint's answer to the caller's connection."""
+"""Writing of responses to the caller's connection."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 from borageworks.endpoints.sink import Headers
 from borageworks.exceptions import CallerDisconnectedError, CallerStalledError
 
-# A caller that accepts no byte for this long holds a slot of an endpoint for nothing.
+# A caller that has stopped reading must not occupy an endpoint slot for longer.
 STALL_TIMEOUT_S = 30.0
 
 
 class ResponseSink:
-    """Sink of one HTTP request.
+    """Writes the response to one HTTP request.
 
     Parameters
     ----------
     request
         The caller's request.
     request_id
-        Sent as ``X-Request-Id``.
+        Value of the header ``X-Request-Id``.
     last
-        Whether the connection ends after the answer.
+        Whether to close the connection after the response.
     """
 
     def __init__(
@@ -42,7 +42,7 @@
 
     @property
     def finished(self) -> bool:
-        """Whether the end marker was sent."""
+        """Whether the response was sent to its end."""
         return self._finished
 
     @property
@@ -52,7 +52,7 @@
         return self._response
 
     async def start(self, status: int, headers: Headers) -> None:
-        """Send status and headers; a resumed attempt does not send them again."""
+        """Send status and headers; does nothing if a previous attempt sent them."""
         if self._response is not None:
             return
         self._response = web.StreamResponse(status=status)
@@ -67,7 +67,7 @@
             raise CallerDisconnectedError(str(error)) from error
 
     async def write(self, data: bytes) -> None:
-        """Send a part of the body and wait until the connection takes more."""
+        """Send a chunk of the body and wait until the connection accepts more."""
         if not data:
             return
         try:
@@ -75,26 +75,26 @@
                 await self.response.write(data)
         except TimeoutError as error:
             raise CallerStalledError(
-                f"the caller read nothing for {STALL_TIMEOUT_S:g} s"
+                f"the caller accepted no data for {STALL_TIMEOUT_S:g} s"
             ) from error
         except OSError as error:
             raise CallerDisconnectedError(str(error)) from error
 
     async def finish(self) -> None:
-        """Send the end marker."""
+        """Send the end of the body."""
         try:
             async with asyncio.timeout(STALL_TIMEOUT_S):
                 await self.response.write_eof()
         except TimeoutError as error:
             raise CallerStalledError(
-                f"the caller read nothing for {STALL_TIMEOUT_S:g} s"
+                f"the caller accepted no data for {STALL_TIMEOUT_S:g} s"
             ) from error
         except OSError as error:
             raise CallerDisconnectedError(str(error)) from error
         self._finished = True
 
     def abort(self) -> None:
-        """Close the connection without an end marker, so the caller sees the cut."""
+        """Close the connection without the end of the body, so truncation shows."""
         transport = self._request.transport
         if transport is not None:
             transport.close()
--- a/borageworks/api/tests/test_server.py
+++ b/borageworks/api/tests/test_server.py
@@ -1,4 +1,4 @@
-"""Tests of the callers' HTTP interface against bad input."""
+"""Tests of the HTTP server for callers."""
 
 import asyncio
 import contextlib
@@ -32,13 +32,13 @@
 COMPLETION = {"model": "m", "messages": [{"role": "user", "content": "hi"}]}
 
 
-class FakeFrontend:
-    """Answers each call with a fixed body, or raises."""
+class FakeBackend:
+    """Responds to each call with a fixed body, or raises `error`."""
 
     def __init__(self):
         self.error = None
         self.calls = []
-        self.missing = []
+        self.not_ready_reasons = []
 
     async def run(self, call, sink):
         self.calls.append(call)
@@ -52,14 +52,14 @@
         await sink.finish()
 
     def lacking(self):
-        return self.missing
+        return self.not_ready_reasons
 
     def status(self):
         return {"instance": "x"}
 
 
 def replica():
-    made = Replica()
+    filled = Replica()
     objects: list[Any] = [
         Organisation(id="a", share=1, keys=(hashlib.sha256(KEY.encode()).hexdigest(),)),
         Pool(id="engines", endpoints=PoolKind.ENGINE),
@@ -68,17 +68,17 @@
         Service(id="other", pool="engines", organisations=("b",)),
         Service(id="desk", pool="desks"),
     ]
-    made.merge(Versioned(item.kind, item.id, 1, item) for item in objects)
-    return made
+    filled.merge(Versioned(item.kind, item.id, 1, item) for item in objects)
+    return filled
 
 
-class Interface:
-    """A server on loopback with a client session."""
+class ServerFixture:
+    """A server on a loopback address with a client session."""
 
     async def __aenter__(self):
-        self.frontend = FakeFrontend()
+        self.backend = FakeBackend()
         self.metrics = Metrics()
-        self.server = Server(settings_for("x"), replica(), self.frontend, self.metrics)
+        self.server = Server(settings_for("x"), replica(), self.backend, self.metrics)
         await self.server.start()
         host, port = self.server.address
         self.url = f"http://{host}:{port}"
@@ -91,21 +91,21 @@
 
     async def refusal(self, method, path, **options):
         options.setdefault("headers", HEADERS)
-        async with self.session.request(method, self.url + path, **options) as answer:
-            body = json.loads(await answer.read())
-            return answer.status, body["code"], body["ran"]
+        async with self.session.request(method, self.url + path, **options) as response:
+            body = json.loads(await response.read())
+            return response.status, body["code"], body["ran"]
 
 
 class ServerTest(testtools.TestCase):
-    def run_with(self, scenario):
-        async def wrapped():
-            async with Interface() as interface:
-                await scenario(interface)
+    def run_scenario(self, scenario):
+        async def run():
+            async with ServerFixture() as fixture:
+                await scenario(fixture)
 
-        asyncio.run(wrapped())
+        asyncio.run(run())
 
     def test_bad_requests_get_typed_refusals_that_are_counted(self):
-        """Guards against untyped errors and against bad input stopping the server."""
+        """Guards against untyped errors and a server that fails on bad input."""
         cases: list[tuple[str, str, Any, int, str]] = [
             ("POST", "/v1/chat/completions", {"data": b"{"}, 400, "body_malformed"),
             ("POST", "/v1/chat/completions", {"json": []}, 400, "body_malformed"),
@@ -156,139 +156,139 @@
             ("GET", "/services/none/x", {}, 404, "service_unknown"),
         ]
 
-        async def scenario(interface):
+        async def scenario(fixture):
             for method, path, options, status, code in cases:
-                before = interface.metrics.value("refusals", code)
-                got = await interface.refusal(method, path, **options)
-                self.assertEqual((status, code, "not_run"), got)
-                self.assertEqual(before + 1, interface.metrics.value("refusals", code))
-            self.assertEqual([], interface.frontend.calls)
+                before = fixture.metrics.value("refusals", code)
+                refusal = await fixture.refusal(method, path, **options)
+                self.assertEqual((status, code, "not_run"), refusal)
+                self.assertEqual(before + 1, fixture.metrics.value("refusals", code))
+            self.assertEqual([], fixture.backend.calls)
 
-        self.run_with(scenario)
+        self.run_scenario(scenario)
 
-    def test_header_flood_is_refused_and_counted(self):
-        """Guards against unbounded headers, and against the server stopping."""
+    def test_oversized_header_is_refused_and_counted(self):
+        """Guards against unbounded headers and a server that fails on them."""
 
-        async def scenario(interface):
+        async def scenario(fixture):
             headers = {**HEADERS, "X-Flood": "x" * 100_000}
-            got = await interface.refusal(
+            refusal = await fixture.refusal(
                 "POST", "/v1/chat/completions", json=COMPLETION, headers=headers
             )
-            self.assertEqual((400, "request_malformed", "not_run"), got)
-            self.assertEqual(
-                1, interface.metrics.value("refusals", "request_malformed")
-            )
-            async with interface.session.get(interface.url + "/livez") as answer:
-                self.assertEqual(200, answer.status)
+            self.assertEqual((400, "request_malformed", "not_run"), refusal)
+            self.assertEqual(1, fixture.metrics.value("refusals", "request_malformed"))
+            async with fixture.session.get(fixture.url + "/livez") as response:
+                self.assertEqual(200, response.status)
 
-        self.run_with(scenario)
+        self.run_scenario(scenario)
 
-    def test_garbage_bytes_are_refused(self):
-        """Guards against a connection that is not HTTP stopping the server."""
+    def test_data_that_is_not_http_is_refused(self):
+        """Guards against a server that fails on a connection that is not HTTP."""
 
-        async def scenario(interface):
-            reader, writer = await asyncio.open_connection(*interface.server.address)
+        async def scenario(fixture):
+            reader, writer = await asyncio.open_connection(*fixture.server.address)
             writer.write(b"\x00\xff garbage\r\n\r\n")
-            answer = await reader.read()
+            response = await reader.read()
             writer.close()
-            self.assertIn(b"request_malformed", answer)
+            self.assertIn(b"request_malformed", response)
 
-        self.run_with(scenario)
+        self.run_scenario(scenario)
 
     def test_refusals_carry_ran_and_retry_after(self):
-        """Guards against callers that cannot tell whether to send again."""
+        """Guards against callers that do not know whether a retry is safe."""
 
-        async def scenario(interface):
-            interface.frontend.error = QueueTimeoutError("no slot", retry_after=2.3)
-            url = interface.url + "/v1/chat/completions"
-            async with interface.session.post(
+        async def scenario(fixture):
+            fixture.backend.error = QueueTimeoutError("no slot", retry_after=2.3)
+            url = fixture.url + "/v1/chat/completions"
+            async with fixture.session.post(
                 url, json=COMPLETION, headers=HEADERS
-            ) as answer:
-                self.assertEqual("3", answer.headers["Retry-After"])
-                self.assertEqual("application/problem+json", answer.content_type)
+            ) as response:
+                self.assertEqual("3", response.headers["Retry-After"])
+                self.assertEqual("application/problem+json", response.content_type)
                 self.assertEqual(
-                    "not_run", (await answer.json(content_type=None))["ran"]
+                    "not_run", (await response.json(content_type=None))["ran"]
                 )
 
-        self.run_with(scenario)
+        self.run_scenario(scenario)
 
-    def test_broken_stream_has_no_end_marker(self):
-        """Guards against a caller that takes a part of an answer for the whole."""
+    def test_aborted_stream_has_no_end_marker(self):
+        """Guards against a truncated response that looks complete."""
 
-        async def scenario(interface):
-            interface.frontend.error = OutcomeUnknownError("endpoint lost")
-            url = interface.url + "/v1/chat/completions"
+        async def scenario(fixture):
+            fixture.backend.error = OutcomeUnknownError("endpoint lost")
+            url = fixture.url + "/v1/chat/completions"
             received = b""
-            cut = None
+            payload_error = None
             try:
-                async with interface.session.post(
+                async with fixture.session.post(
                     url, json={**COMPLETION, "stream": True}, headers=HEADERS
-                ) as answer:
-                    async for part in answer.content.iter_any():
-                        received += part
+                ) as response:
+                    async for chunk in response.content.iter_any():
+                        received += chunk
             except aiohttp.ClientPayloadError as error:
-                cut = error
-            self.assertIsNotNone(cut)
+                payload_error = error
+            self.assertIsNotNone(payload_error)
             self.assertIn(b"outcome_unknown", received)
             self.assertNotIn(b"[DONE]", received)
 
-        self.run_with(scenario)
+        self.run_scenario(scenario)
 
     def test_plain_service_path_and_models(self):
-        """Guards against changed paths and against models that may not be used."""
+        """Guards against rewritten paths and listed models that may not be used."""
 
-        async def scenario(interface):
-            url = interface.url + "/services/desk/orders/7%2F8?full=1"
-            async with interface.session.put(url, data=b"x", headers=HEADERS) as answer:
-                self.assertEqual(200, answer.status)
-            (call,) = interface.frontend.calls
+        async def scenario(fixture):
+            url = fixture.url + "/services/desk/orders/7%2F8?full=1"
+            async with fixture.session.put(url, data=b"x", headers=HEADERS) as response:
+                self.assertEqual(200, response.status)
+            (call,) = fixture.backend.calls
             self.assertEqual("/orders/7%2F8?full=1", call.path)
-            self.assertNotIn("authorization", {n.lower() for n, _ in call.headers})
-            async with interface.session.get(
-                interface.url + "/v1/models", headers=HEADERS
-            ) as answer:
-                models = [model["id"] for model in (await answer.json())["data"]]
+            self.assertNotIn(
+                "authorization", {name.lower() for name, _ in call.headers}
+            )
+            async with fixture.session.get(
+                fixture.url + "/v1/models", headers=HEADERS
+            ) as response:
+                models = [model["id"] for model in (await response.json())["data"]]
             self.assertEqual(["m"], models)
 
-        self.run_with(scenario)
+        self.run_scenario(scenario)
 
-    def test_readiness_tells_what_is_lacking(self):
-        """Guards against a balancer that sends to an empty instance."""
+    def test_readiness_reports_reasons(self):
+        """Guards against a load balancer that uses an unconfigured instance."""
 
-        async def scenario(interface):
-            interface.frontend.missing = ["no configuration yet"]
-            async with interface.session.get(interface.url + "/readyz") as answer:
-                self.assertEqual(503, answer.status)
-                self.assertIn("no configuration yet", await answer.text())
+        async def scenario(fixture):
+            fixture.backend.not_ready_reasons = ["no configuration yet"]
+            async with fixture.session.get(fixture.url + "/readyz") as response:
+                self.assertEqual(503, response.status)
+                self.assertIn("no configuration yet", await response.text())
 
-        self.run_with(scenario)
+        self.run_scenario(scenario)
 
-    def test_instance_without_configuration_does_not_judge_keys(self):
-        """Guards against callers told that their key is wrong during an outage."""
+    def test_unconfigured_instance_does_not_refuse_keys_as_unknown(self):
+        """Guards against valid keys being refused during a store outage."""
 
-        async def scenario(interface):
-            interface.server._replica = Replica()
-            interface.frontend.missing = ["no configuration yet"]
-            got = await interface.refusal("GET", "/v1/models")
-            self.assertEqual((503, "instance_not_ready", "not_run"), got)
+        async def scenario(fixture):
+            fixture.server._replica = Replica()
+            fixture.backend.not_ready_reasons = ["no configuration yet"]
+            refusal = await fixture.refusal("GET", "/v1/models")
+            self.assertEqual((503, "instance_not_ready", "not_run"), refusal)
 
-        self.run_with(scenario)
+        self.run_scenario(scenario)
 
-    def test_caller_that_leaves_cancels_its_call(self):
-        """Guards against slots held for callers that are gone."""
+    def test_disconnected_caller_cancels_its_call(self):
+        """Guards against slots that stay in use for disconnected callers."""
 
-        async def scenario(interface):
+        async def scenario(fixture):
             cancelled = asyncio.Event()
 
-            async def hang(call, sink):
+            async def run_until_cancelled(call, sink):
                 try:
                     await asyncio.sleep(3600)
                 finally:
                     cancelled.set()
 
-            interface.frontend.run = hang
+            fixture.backend.run = run_until_cancelled
             body = json.dumps(COMPLETION).encode()
-            sock = socket.create_connection(interface.server.address)
+            sock = socket.create_connection(fixture.server.address)
             sock.sendall(
                 b"POST /v1/chat/completions HTTP/1.1\r\nHost: x\r\n"
                 b"Authorization: Bearer key-a\r\nContent-Length: %d\r\n\r\n%b"
@@ -298,14 +298,14 @@
             sock.close()
             await asyncio.wait_for(cancelled.wait(), 10)
 
-        self.run_with(scenario)
+        self.run_scenario(scenario)
 
 
 class DecoderTest(testtools.TestCase):
     @settings(derandomize=True, deadline=None, max_examples=300)
     @given(st.binary(max_size=200))
-    def test_generated_bodies_are_parsed_or_refused(self, body):
-        """Guards against a body that raises anything but a typed refusal."""
+    def test_arbitrary_bodies_are_parsed_or_refused(self, body):
+        """Guards against a body that raises anything but BodyMalformedError."""
         with contextlib.suppress(BodyMalformedError):
             parse_completion(body)
 
@@ -316,11 +316,11 @@
                 st.binary(max_size=60),
                 st.recursive(
                     st.none() | st.integers() | st.text(max_size=5),
-                    lambda inner: (
-                        st.lists(inner, max_size=3)
+                    lambda children: (
+                        st.lists(children, max_size=3)
                         | st.dictionaries(
                             st.sampled_from(["choices", "delta", "content", "usage"]),
-                            inner,
+                            children,
                             max_size=3,
                         )
                     ),
@@ -330,9 +330,9 @@
             max_size=5,
         )
     )
-    def test_generated_events_are_decoded_or_refused(self, parts):
-        """Guards against an endpoint's garbage raising anything but a typed error."""
+    def test_arbitrary_events_are_decoded_or_refused(self, chunks):
+        """Guards against endpoint data that raises an untyped error."""
         decoder = StreamDecoder()
         with contextlib.suppress(EndpointReplyMalformedError):
-            for part in parts:
-                decoder.feed(part)
+            for chunk in chunks:
+                decoder.feed(chunk)
