--- a/borageworks/store/store.py
+++ b/borageworks/store/store.py
@@ -18,8 +18,8 @@
 class Store(Protocol):
     """Key-value store with compare-and-swap, leases and watches.
 
-    Keys are relative to the prefix that the implementation was set up with. Every
-    method may raise `StoreUnavailableError`, which means that nothing was written.
+    Keys are relative to the configured prefix. Every method may raise
+    `StoreUnavailableError`, which means that nothing was written.
     """
 
     async def get(self, key: str) -> StoredValue | None:
@@ -31,13 +31,13 @@
         ...
 
     async def commit(self, transaction: Transaction) -> CommitResult:
-        """Apply `transaction` if all its compares hold.
+        """Apply `transaction` if all of its compares succeed.
 
         Raises
         ------
         StoreOutcomeUnknownError
-            The transaction was sent and its reply was lost. It may also be applied
-            after this error.
+            The transaction was sent but its reply was lost. It may have been applied,
+            or may be applied later.
         """
         ...
 
@@ -51,18 +51,19 @@
         Raises
         ------
         StoreLeaseExpiredError
-            The lease no longer exists.
+            The lease has expired.
         """
         ...
 
     def watch(self, prefix: str, start_revision: int) -> AsyncIterator[WatchBatch]:
         """Yield each change under `prefix` from `start_revision` on, once and in order.
 
-        A start revision of 0 means the current one. Connection failures are retried.
+        A `start_revision` of 0 starts at the current revision. Lost connections are
+        reopened.
 
         Raises
         ------
         StoreCompactedError
-            The store no longer holds the changes from the start revision on.
+            Changes since `start_revision` have been compacted.
         """
         ...
--- a/borageworks/store/tests/test_etcd.py
+++ b/borageworks/store/tests/test_etcd.py
@@ -1,4 +1,4 @@
-"""Tests of the store adapter against the emulated gateway, with each fault."""
+"""Tests of the etcd client against the emulated gateway and its faults."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 async def connected(
     **options,
 ) -> AsyncIterator[tuple[EmulatedStore, EtcdStore, Metrics]]:
-    """Start an emulated store and connect an adapter to it."""
+    """Run an emulated store and a client connected to it."""
     emulated = EmulatedStore()
     await emulated.start()
     metrics = Metrics()
@@ -47,7 +47,7 @@
     return Transaction({key: expected}, {key: value})
 
 
-async def until(condition: Callable[[], bool]) -> None:
+async def wait_until(condition: Callable[[], bool]) -> None:
     """Wait until `condition` holds."""
     while not condition():  # noqa: ASYNC110 - the emulated store has no events
         await asyncio.sleep(0.001)
@@ -55,32 +55,32 @@
 
 async def collect(store: EtcdStore, start: int, count: int) -> list[WatchBatch]:
     """Return the first `count` batches of a watch."""
-    found: list[WatchBatch] = []
-    async with aclosing(store.watch("", start)) as batches:
-        async for batch in batches:
-            found.append(batch)
-            if len(found) == count:
+    batches: list[WatchBatch] = []
+    async with aclosing(store.watch("", start)) as watch:
+        async for batch in watch:
+            batches.append(batch)
+            if len(batches) == count:
                 break
-    return found
+    return batches
 
 
 class CommitTest(testtools.TestCase):
-    """Guards against a lost or doubled effect of a transaction."""
+    """Guards against transactions that are lost, partial or applied twice."""
 
-    def test_only_one_of_two_writers_with_the_same_expectation_succeeds(self):
+    def test_only_one_of_two_conflicting_writes_succeeds(self):
         async def run():
             async with connected() as (_, store, _metrics):
                 first = await store.commit(put("a", b"1"))
                 second = await store.commit(put("a", b"2"))
-                found = await store.get("a")
-                assert found is not None
+                stored = await store.get("a")
+                assert stored is not None
                 self.assertEqual((True, False), (first.succeeded, second.succeeded))
-                self.assertEqual(b"1", found.value)
-                self.assertEqual(first.revision, found.mod_revision)
+                self.assertEqual(b"1", stored.value)
+                self.assertEqual(first.revision, stored.mod_revision)
 
         asyncio.run(run())
 
-    def test_a_failed_compare_applies_nothing_of_a_transaction(self):
+    def test_failed_compare_applies_no_operation(self):
         async def run():
             async with connected() as (_, store, _metrics):
                 await store.commit(put("a", b"1"))
@@ -92,7 +92,7 @@
 
         asyncio.run(run())
 
-    def test_a_lost_reply_is_an_unknown_outcome_and_not_a_failure(self):
+    def test_lost_reply_is_an_unknown_outcome(self):
         async def run():
             async with connected() as (emulated, store, _metrics):
                 emulated.faults.lost_replies = 1
@@ -106,7 +106,7 @@
 
         asyncio.run(run())
 
-    def test_a_write_that_times_out_is_unknown_and_may_apply_later(self):
+    def test_timed_out_write_is_an_unknown_outcome_and_may_apply_later(self):
         async def run():
             async with connected() as (emulated, store, _metrics):
                 before = emulated.revision
@@ -116,12 +116,12 @@
                 with ExpectedException(StoreUnavailableError):
                     await store.get("a")
                 emulated.faults.delay_s = 0.0
-                await until(lambda: emulated.revision > before)
+                await wait_until(lambda: emulated.revision > before)
                 self.assertIsNotNone(await store.get("a"))
 
         asyncio.run(run())
 
-    def test_a_server_error_to_a_write_is_not_taken_for_a_refusal(self):
+    def test_server_error_on_a_write_is_an_unknown_outcome(self):
         async def run():
             async with connected() as (emulated, store, metrics):
                 emulated.unavailable = True
@@ -135,7 +135,7 @@
 
         asyncio.run(run())
 
-    def test_a_refused_connection_and_a_rate_limit_leave_no_doubt(self):
+    def test_refused_connection_and_rate_limit_mean_nothing_was_written(self):
         async def run():
             async with connected() as (emulated, store, _metrics):
                 emulated.faults.writes_per_second = 1e-9
@@ -143,7 +143,7 @@
                 with ExpectedException(StoreUnavailableError):
                     await store.commit(put("b", b"1"))
                 await emulated.stop()
-                # The pooled connection closes; a write on it would be in doubt.
+                # Discards the pooled connection; a write on it has an unknown outcome.
                 with ExpectedException(StoreUnavailableError):
                     await store.get("a")
                 with ExpectedException(StoreUnavailableError):
@@ -151,7 +151,7 @@
 
         asyncio.run(run())
 
-    def test_an_outage_of_one_source_leaves_the_others_served(self):
+    def test_outage_of_one_source_address_does_not_affect_others(self):
         async def run():
             async with connected(local_host="127.0.0.2") as (emulated, store, _):
                 other = EtcdStore(StoreSettings(url=emulated.url), Metrics())
@@ -165,20 +165,20 @@
 
 
 class RangeTest(testtools.TestCase):
-    """Guards against a truncated or mixed view of many keys."""
+    """Guards against ranges that are truncated or mix revisions."""
 
-    def test_pages_show_one_revision_and_only_the_prefix(self):
+    def test_pages_have_one_revision_and_only_the_prefix(self):
         async def run():
             async with connected(page_keys=3) as (emulated, store, metrics):
                 for number in range(10):
                     await store.commit(put(f"a/{number}", b"1"))
                 await store.commit(put("b/0", b"1"))
                 emulated.faults.reply_delay_s = 0.05
-                reading = asyncio.create_task(store.range("a/"))
-                await until(lambda: emulated.calls["range"] > 0)
+                range_task = asyncio.create_task(store.range("a/"))
+                await wait_until(lambda: emulated.calls["range"] > 0)
                 await asyncio.sleep(0.01)
                 await store.commit(Transaction({}, {"a/9": b"2"}, ("a/8",)))
-                result = await reading
+                result = await range_task
                 self.assertEqual({b"1"}, {v.value for v in result.values.values()})
                 self.assertEqual(
                     [f"a/{number}" for number in range(10)], list(result.values)
@@ -189,9 +189,9 @@
 
 
 class WatchTest(testtools.TestCase):
-    """Guards against missed, repeated or torn changes."""
+    """Guards against missed, repeated or partial changes."""
 
-    def test_a_batch_holds_the_whole_transaction(self):
+    def test_batch_contains_the_whole_transaction(self):
         async def run():
             async with connected() as (_, store, metrics):
                 first = await store.commit(Transaction({}, {"a": b"1", "b": b"2"}))
@@ -204,17 +204,17 @@
 
         asyncio.run(run())
 
-    def test_a_broken_stream_resumes_without_gap_or_repeat(self):
+    def test_broken_watch_resumes_without_gap_or_repetition(self):
         async def run():
             async with connected() as (emulated, store, _):
                 start = (await store.commit(put("k/0", b""))).revision
-                watching = asyncio.create_task(collect(store, start, 6))
+                watch_task = asyncio.create_task(collect(store, start, 6))
                 for number in range(1, 6):
-                    await until(lambda: emulated.watches > 0)
+                    await wait_until(lambda: emulated.watches > 0)
                     if number % 2:
                         emulated.break_watches()
                     await store.commit(put(f"k/{number}", b""))
-                batches = await watching
+                batches = await watch_task
                 self.assertEqual(
                     [f"k/{number}" for number in range(6)],
                     [key for batch in batches for key in batch.puts],
@@ -222,20 +222,20 @@
 
         asyncio.run(run())
 
-    def test_a_watch_from_now_misses_nothing_when_its_first_stream_breaks(self):
+    def test_watch_from_the_current_revision_survives_a_broken_connection(self):
         async def run():
             async with connected() as (emulated, store, _):
                 await store.commit(put("old", b""))
-                watching = asyncio.create_task(collect(store, 0, 1))
-                await until(lambda: emulated.watches > 0)
+                watch_task = asyncio.create_task(collect(store, 0, 1))
+                await wait_until(lambda: emulated.watches > 0)
                 await asyncio.sleep(0.05)
                 emulated.break_watches()
                 await store.commit(put("new", b""))
-                self.assertEqual(["new"], list((await watching)[0].puts))
+                self.assertEqual(["new"], list((await watch_task)[0].puts))
 
         asyncio.run(run())
 
-    def test_a_compacted_start_is_an_error_and_not_a_silent_gap(self):
+    def test_compacted_start_revision_is_an_error(self):
         async def run():
             async with connected() as (emulated, store, _):
                 for number in range(4):
@@ -248,18 +248,18 @@
 
 
 class LeaseTest(testtools.TestCase):
-    """Guards against keys that outlast their holder."""
+    """Guards against keys that outlive their lease."""
 
-    def test_keys_vanish_with_an_expired_lease_and_renewal_fails(self):
+    def test_expired_lease_deletes_its_keys_and_cannot_be_renewed(self):
         async def run():
             async with connected() as (_, store, _metrics):
                 lease = await store.grant_lease(0.2)
                 await store.commit(Transaction({}, {"a": b"1"}, (), lease))
                 await store.keep_alive(lease)
-                watching = asyncio.create_task(collect(store, 2, 2))
+                watch_task = asyncio.create_task(collect(store, 2, 2))
                 with suppress(TimeoutError):
-                    await asyncio.wait_for(watching, 10)
-                self.assertEqual(("a",), watching.result()[1].deletes)
+                    await asyncio.wait_for(watch_task, 10)
+                self.assertEqual(("a",), watch_task.result()[1].deletes)
                 with ExpectedException(StoreLeaseExpiredError):
                     await store.keep_alive(lease)
 
@@ -267,8 +267,8 @@
 
 
 class InterfaceTest(testtools.TestCase):
-    """Guards against an adapter that mypy does not accept as a store."""
+    """Makes mypy check that the client implements the store interface."""
 
-    def test_the_adapter_is_a_store(self):
+    def test_client_implements_store(self):
         store: Store = EtcdStore(StoreSettings(url="http://127.0.0.1:1"), Metrics())
         self.assertIsNotNone(store)
--- a/borageworks/store/values.py
+++ b/borageworks/store/values.py
@@ -1,4 +1,4 @@
-"""Values that calls of the store take and return."""
+"""Arguments and results of store calls."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredValue:
-    """A value and the store revision that wrote it."""
+    """A value and the revision of its last modification."""
 
     value: bytes
     mod_revision: int
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RangeResult:
-    """All keys under a prefix, as they were at one store revision."""
+    """Values of all keys with a prefix at one store revision."""
 
     values: Mapping[str, StoredValue]
     revision: int
@@ -24,9 +24,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Lease:
-    """A lease of the store; its keys vanish when it expires.
+    """A lease of the store; the keys attached to it are deleted when it expires.
 
-    `ttl_s` is the time to live in seconds that the store granted.
+    `ttl_s` is the time to live that the store granted.
     """
 
     id: int
@@ -35,18 +35,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Transaction:
-    """One compare-and-swap over several keys.
+    """Atomic compare-and-swap of several keys.
 
     Parameters
     ----------
     compares
-        Expected `mod_revision` by key; 0 expects the key to be absent.
+        Expected `mod_revision` by key; 0 if the key must be absent.
     puts
         New value by key.
     deletes
-        Keys to delete; a key must not be both put and deleted.
+        Keys to delete; disjoint from the keys of `puts`.
     lease
-        Lease that every put is attached to.
+        Lease to which all keys of `puts` are attached.
     """
 
     compares: Mapping[str, int] = field(default_factory=dict)
@@ -59,8 +59,8 @@
 class CommitResult:
     """Outcome of a transaction.
 
-    `revision` is the revision of the transaction when it succeeded, else the store's
-    current one.
+    `revision` is the revision that the transaction created if it succeeded, else the
+    store's current revision.
     """
 
     succeeded: bool
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchBatch:
-    """Every change under a prefix made by one store revision."""
+    """All changes of keys with a prefix in one store revision."""
 
     revision: int
     puts: Mapping[str, StoredValue]
