--- a/borageworks/api/__init__.py
+++ b/borageworks/api/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP interface for callers, the balancer and the metrics scraper."""
+"""HTTP server for callers, the load balancer and the metrics scraper."""
--- a/borageworks/wire/__init__.py
+++ b/borageworks/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between instances and their codec."""
+"""Messages between instances: their types, codec and connections."""
--- a/borageworks/wire/authenticator.py
+++ b/borageworks/wire/authenticator.py
@@ -1,4 +1,4 @@
-"""Message authentication codes under keys that can be rolled over."""
+"""Message authentication codes with keys that can be rotated."""
 
 from __future__ import annotations
 
@@ -11,44 +11,48 @@
 
 
 class Authenticator:
-    """Signs with the first key and verifies with all of them.
+    """Signs with the first key and accepts codes of all keys.
 
-    A key is replaced without interruption in three steps: give every instance
-    (old, new), then (new, old), then (new).
+    To rotate a key without interruption, configure all instances with (old, new), then
+    with (new, old), then with (new).
 
     Parameters
     ----------
     keys
-        Keys as hexadecimal text.
+        Keys in hexadecimal.
     """
 
     def __init__(self, keys: tuple[str, ...]) -> None:
-        self._states = [
+        self._keyed_hashes = [
             hashlib.blake2b(digest_size=CODE_BYTES, key=bytes.fromhex(key))
             for key in keys
         ]
 
     def sign(self, context: bytes, payload: bytes) -> bytes:
-        """Return the code of `payload`, valid only in `context`."""
-        return self._code(self._states[0], context, payload)
+        """Return the authentication code of `payload`, valid only in `context`."""
+        return self._compute_code(self._keyed_hashes[0], context, payload)
 
     def verify(self, context: bytes, payload: bytes, code: bytes) -> None:
-        """Check the code of `payload`.
+        """Check the authentication code of `payload`.
 
         Raises
         ------
         MessageUnauthenticError
-            If no key gives this code.
+            If the code matches none of the keys.
         """
-        for state in self._states:
-            if hmac.compare_digest(self._code(state, context, payload), code):
+        for keyed_hash in self._keyed_hashes:
+            if hmac.compare_digest(
+                self._compute_code(keyed_hash, context, payload), code
+            ):
                 return
-        raise MessageUnauthenticError("no key verifies the authentication code")
+        raise MessageUnauthenticError("authentication code matches none of the keys")
 
     @staticmethod
-    def _code(state: hashlib.blake2b, context: bytes, payload: bytes) -> bytes:
-        copy = state.copy()
-        # The length keeps a context's end apart from the payload's start.
-        copy.update(len(context).to_bytes(2, "big") + context)
-        copy.update(payload)
-        return copy.digest()
+    def _compute_code(
+        keyed_hash: hashlib.blake2b, context: bytes, payload: bytes
+    ) -> bytes:
+        code_hash = keyed_hash.copy()
+        # The length prefix separates context and payload unambiguously.
+        code_hash.update(len(context).to_bytes(2, "big") + context)
+        code_hash.update(payload)
+        return code_hash.digest()
--- a/borageworks/wire/codec.py
+++ b/borageworks/wire/codec.py
@@ -1,4 +1,4 @@
-"""Encodes messages with Cap'n Proto."""
+"""Encoding of messages with Cap'n Proto."""
 
 from __future__ import annotations
 
@@ -17,11 +17,12 @@
 
 _SCHEMA: Any = capnp.load(str(Path(__file__).with_name("fleet.capnp")))
 
-# Bounds what a decoder reads from one frame, against amplification by crafted pointers.
+# Limits the data read from one frame, since crafted pointers can refer to the same data
+# repeatedly (amplification).
 TRAVERSAL_LIMIT_WORDS = 1 << 20
 
 Reader = Callable[[Any], Any]
-# Stores a value in the field of a builder: (builder, wire name, value).
+# Sets a field of a builder: (builder, wire name, value).
 Writer = Callable[[Any, str, Any], None]
 
 
@@ -38,16 +39,16 @@
     return head + "".join(part.title() for part in tail)
 
 
-def _identity(value: Any) -> Any:
+def _unchanged(value: Any) -> Any:
     return value
 
 
 def _write_enum(builder: Any, name: str, value: IntEnum) -> None:
-    setattr(builder, name, int(value))  # the library refuses enum classes
+    setattr(builder, name, int(value))  # pycapnp does not accept enum members
 
 
 def _write_struct(builder: Any, name: str, value: Any) -> None:
-    _fill(builder.init(name), value)
+    _write_message(builder.init(name), value)
 
 
 def _write_list(builder: Any, name: str, values: tuple[Any, ...]) -> None:
@@ -56,73 +57,77 @@
         items[index] = value
 
 
-def _write_structs(builder: Any, name: str, values: tuple[Any, ...]) -> None:
+def _write_struct_list(builder: Any, name: str, values: tuple[Any, ...]) -> None:
     items = builder.init(name, len(values))
     for index, value in enumerate(values):
-        _fill(items[index], value)
+        _write_message(items[index], value)
 
 
-def _converters(kind: Any) -> tuple[Reader, Writer]:
-    if typing.get_origin(kind) is tuple:
-        item_kind = typing.get_args(kind)[0]
-        item_read, item_write = _converters(item_kind)
+def _converters(value_type: Any) -> tuple[Reader, Writer]:
+    if typing.get_origin(value_type) is tuple:
+        item_type = typing.get_args(value_type)[0]
+        item_read, item_write = _converters(item_type)
         return (
             lambda values: tuple([item_read(value) for value in values]),
-            _write_structs if item_write is _write_struct else _write_list,
+            _write_struct_list if item_write is _write_struct else _write_list,
         )
-    if is_dataclass(kind) and isinstance(kind, type):
-        return (lambda value: _read(kind, value)), _write_struct
-    if isinstance(kind, type) and issubclass(kind, IntEnum):
-        return kind, _write_enum
-    if kind is bytes:
+    if is_dataclass(value_type) and isinstance(value_type, type):
+        return (lambda value: _read_message(value_type, value)), _write_struct
+    if isinstance(value_type, type) and issubclass(value_type, IntEnum):
+        return value_type, _write_enum
+    if value_type is bytes:
         return bytes, setattr
-    return _identity, setattr
+    return _unchanged, setattr
 
 
-_LAYOUTS: dict[type, tuple[_Field, ...]] = {}
+_FIELDS_BY_TYPE: dict[type, tuple[_Field, ...]] = {}
 
 
-def _layout(kind: type) -> tuple[_Field, ...]:
-    layout = _LAYOUTS.get(kind)
-    if layout is None:
-        hints = typing.get_type_hints(kind)
-        layout = tuple(
+def _fields(value_type: type) -> tuple[_Field, ...]:
+    type_fields = _FIELDS_BY_TYPE.get(value_type)
+    if type_fields is None:
+        hints = typing.get_type_hints(value_type)
+        type_fields = tuple(
             _Field(item.name, _camel_case(item.name), *_converters(hints[item.name]))
-            for item in fields(kind)
+            for item in fields(value_type)
         )
-        _LAYOUTS[kind] = layout
-    return layout
+        _FIELDS_BY_TYPE[value_type] = type_fields
+    return type_fields
 
 
-def _fill(builder: Any, message: Any) -> None:
-    # Fields are set one by one: a dict given to new_message takes six times as long.
-    for item in _layout(type(message)):
+def _write_message(builder: Any, message: Any) -> None:
+    # Passing a dict to new_message takes six times as long as setting each field.
+    for item in _fields(type(message)):
         item.write(builder, item.wire_name, getattr(message, item.name))
 
 
-def _read(kind: type, reader: Any) -> Any:
-    return kind(
+def _read_message(value_type: type, reader: Any) -> Any:
+    return value_type(
         **{
             item.name: item.read(getattr(reader, item.wire_name))
-            for item in _layout(kind)
+            for item in _fields(value_type)
         }
     )
 
 
-_KINDS: dict[str, type] = {
-    kind.__name__[0].lower() + kind.__name__[1:]: kind
-    for kind in typing.get_args(message_types.Message)
+_TYPE_BY_WIRE_NAME: dict[str, type] = {
+    value_type.__name__[0].lower() + value_type.__name__[1:]: value_type
+    for value_type in typing.get_args(message_types.Message)
+}
+_WIRE_NAME_BY_TYPE: dict[type, str] = {
+    value_type: name for name, value_type in _TYPE_BY_WIRE_NAME.items()
 }
-_NAMES: dict[type, str] = {kind: name for name, kind in _KINDS.items()}
 
 
 def encode(messages: Iterable[Message]) -> bytes:
-    """Return the packed frame that holds `messages` in order."""
-    listed = tuple(messages)
+    """Return a packed frame with `messages` in order."""
+    batch = tuple(messages)
     frame = _SCHEMA.Frame.new_message()
-    envelopes = frame.init("messages", len(listed))
-    for index, message in enumerate(listed):
-        _fill(envelopes[index].init(_NAMES[type(message)]), message)
+    envelopes = frame.init("messages", len(batch))
+    for index, message in enumerate(batch):
+        _write_message(
+            envelopes[index].init(_WIRE_NAME_BY_TYPE[type(message)]), message
+        )
     return bytes(frame.to_bytes_packed())
 
 
@@ -132,7 +137,7 @@
     Raises
     ------
     MessageMalformedError
-        If the bytes are not a valid frame.
+        If `data` is not a valid frame.
     """
     try:
         frame = _SCHEMA.Frame.from_bytes_packed(
@@ -141,7 +146,9 @@
         decoded: list[Message] = []
         for envelope in frame.messages:
             name = str(envelope.which())
-            decoded.append(_read(_KINDS[name], getattr(envelope, name)))
+            decoded.append(
+                _read_message(_TYPE_BY_WIRE_NAME[name], getattr(envelope, name))
+            )
     except (
         capnp.KjException,
         KeyError,
@@ -150,5 +157,7 @@
         AttributeError,
     ) as error:
         reason = str(error).partition("\n")[0]
-        raise MessageMalformedError(f"frame of {len(data)} bytes: {reason}") from error
+        raise MessageMalformedError(
+            f"cannot decode a frame of {len(data)} bytes: {reason}"
+        ) from error
     return decoded
--- a/borageworks/wire/fleet.capnp
+++ b/borageworks/wire/fleet.capnp
@@ -1,6 +1,6 @@
 @0xb5d0c1a7e2f94361;
-# Messages between instances. The codec maps each struct to the data class of the same
-# name in messages.py; field names differ only in case.
+# Messages between instances. The codec maps each struct to the dataclass of the same name
+# in messages.py: fields are camelCase here and snake_case there.
 
 struct Hello { instance @0 :Text; incarnation @1 :UInt64; domain @2 :Text; nonce @3 :Data; }
 struct Demand { pool @0 :Text; organisation @1 :Text; waiting @2 :UInt32; }
--- a/borageworks/wire/link.py
+++ b/borageworks/wire/link.py
@@ -1,4 +1,4 @@
-"""One framed and authenticated TCP connection to another instance."""
+"""Framed and authenticated TCP connection to another instance."""
 
 from __future__ import annotations
 
@@ -21,57 +21,58 @@
 
 LENGTH_BYTES = 4
 MAX_FRAME_BYTES = 1 << 20
-MAX_GREETING_BYTES = 1024  # bounds what a peer that has proved nothing makes us buffer
+MAX_HANDSHAKE_FRAME_BYTES = 1024  # limits what is buffered for an unverified peer
 NONCE_BYTES = 16
 SEQUENCE_BYTES = 8
-WRITE_HEADER_BYTES = 52  # IPv4 (20) and TCP with timestamps (32)
+PACKET_HEADER_BYTES = 52  # IPv4 (20) and TCP with timestamps (32)
 HELLO_CONTEXT = b"hello"
-# A peer that vanished without closing is noticed after about 6 s; membership usually
-# removes it earlier.
+# A peer that disappears without closing the connection is detected after about 6 s;
+# membership usually removes it earlier.
 KEEPALIVE_IDLE_S = 3
 KEEPALIVE_INTERVAL_S = 1
-KEEPALIVE_PROBES = 3
-USER_TIMEOUT_MS = 6000
+KEEPALIVE_PROBE_COUNT = 3
+TCP_USER_TIMEOUT_MS = 6000
 
 
 class LinkOwner(Protocol):
-    """What a link reports to."""
+    """Receiver of the events of links."""
 
-    def link_greeted(self, link: Link) -> bool:
-        """Decide on the peer that `link.peer` names; False closes the link."""
+    def link_identified(self, link: Link) -> bool:
+        """Return whether to continue with `link.peer`; False closes the link."""
 
     def link_ready(self, link: Link) -> None:
-        """Take a link whose peer has proved that it is no replay."""
+        """Handle the end of the handshake; the peer's Hello was not a replay."""
 
     def link_received(self, link: Link, message: Message) -> None:
-        """Take a message from the peer."""
+        """Handle a message from the peer."""
 
     def link_writable(self, link: Link) -> None:
-        """Continue to send after the transport's buffer has drained."""
+        """Resume sending after the transport's buffer has drained."""
 
     def link_closed(self, link: Link) -> None:
-        """Forget the link."""
+        """Handle the end of the connection."""
 
 
 class Link(asyncio.Protocol):
-    """A framed connection.
+    """Framed and authenticated connection to one peer.
 
-    Each frame is a length, a body and a code over both nonces, a sequence number and
-    the body. Both sides first send a Hello with a fresh nonce, then an empty frame; the
-    link is ready when that frame has been verified, since a Hello can be replayed.
+    A frame consists of a length, a body, and an authentication code over both nonces, a
+    sequence number and the body. Each side first sends a Hello with a fresh nonce, then
+    an empty frame. A Hello can be replayed, so the link is ready only when the empty
+    frame has been verified.
 
     Parameters
     ----------
     owner
         Receiver of the link's events.
     hello
-        Identity to send; the nonce is replaced by a fresh one.
+        Own identity; its nonce is replaced by a fresh one.
     authenticator
         Signs and verifies frames.
     metrics
         Counts rejected frames.
     dialed
-        Instance that this side connects to, or None for an accepted connection.
+        Name of the instance to connect to, or None for an accepted connection.
     """
 
     def __init__(
@@ -92,11 +93,11 @@
             secrets.token_bytes(NONCE_BYTES),
         )
         self._transport: asyncio.Transport | None = None
-        self._buffer = bytearray()
-        self._send_prefix = b""
-        self._receive_prefix = b""
-        self._sent = 0
-        self._received = 0
+        self._receive_buffer = bytearray()
+        self._send_context = b""
+        self._receive_context = b""
+        self._frames_sent = 0
+        self._frames_received = 0
         self._writable = True
         self._closed = False
         self.dialed = dialed
@@ -108,7 +109,7 @@
 
     @property
     def writable(self) -> bool:
-        """Whether the transport takes more frames now."""
+        """Whether the link is ready and the transport's buffer is not full."""
         return self.ready and self._writable and not self._closed
 
     @property
@@ -128,59 +129,59 @@
             raise MessageTooLargeError(
                 f"frame of {len(body)} bytes exceeds the limit of {MAX_FRAME_BYTES}"
             )
-        context = self._send_prefix + self._sent.to_bytes(SEQUENCE_BYTES, "big")
-        self._sent += 1
-        self._write(body, context)
+        context = self._send_context + self._frames_sent.to_bytes(SEQUENCE_BYTES, "big")
+        self._frames_sent += 1
+        self._write_frame(body, context)
 
     def close(self) -> None:
-        """Close after what was sent has been flushed."""
+        """Close the link after the frames sent so far have been flushed."""
         if not self._closed:
             self._closed = True
             if self._transport is not None:
                 self._transport.close()
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Greet the peer."""
+        """Start the handshake."""
         self._transport = cast(asyncio.Transport, transport)
         if self._closed:
             self._transport.abort()
             return
-        raw = transport.get_extra_info("socket")
-        if raw is not None:
-            _detect_silence(raw)
-        self._write(encode((self._hello,)), HELLO_CONTEXT)
+        tcp_socket = transport.get_extra_info("socket")
+        if tcp_socket is not None:
+            _enable_dead_peer_detection(tcp_socket)
+        self._write_frame(encode((self._hello,)), HELLO_CONTEXT)
 
     def data_received(self, data: bytes) -> None:
-        """Take the frames that are complete."""
+        """Process all complete frames."""
         if self._closed:
             return
-        self.bytes_received += len(data) + WRITE_HEADER_BYTES
-        self._buffer += data
+        self.bytes_received += len(data) + PACKET_HEADER_BYTES
+        self._receive_buffer += data
         try:
-            while not self._closed and (frame := self._take_frame()) is not None:
-                self._take(*frame)
+            while not self._closed and (frame := self._next_frame()) is not None:
+                self._process_frame(*frame)
         except (
             MessageMalformedError,
             MessageTooLargeError,
             MessageUnauthenticError,
         ) as error:
-            self._reject(error)
+            self._reject_peer(error)
 
     def pause_writing(self) -> None:
         """Stop sending until the transport's buffer has drained."""
         self._writable = False
 
     def resume_writing(self) -> None:
-        """Continue to send."""
+        """Resume sending."""
         self._writable = True
         self._owner.link_writable(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Report the end of the connection."""
+        """Report the end of the connection to the owner."""
         self._closed = True
         self._owner.link_closed(self)
 
-    def _write(self, body: bytes, context: bytes) -> None:
+    def _write_frame(self, body: bytes, context: bytes) -> None:
         if self._transport is None or self._closed:
             return
         data = b"".join(
@@ -190,34 +191,36 @@
                 self._authenticator.sign(context, body),
             )
         )
-        self.bytes_sent += len(data) + WRITE_HEADER_BYTES
+        self.bytes_sent += len(data) + PACKET_HEADER_BYTES
         self._transport.write(data)
 
-    def _take_frame(self) -> tuple[bytes, bytes] | None:
-        if len(self._buffer) < LENGTH_BYTES:
+    def _next_frame(self) -> tuple[bytes, bytes] | None:
+        if len(self._receive_buffer) < LENGTH_BYTES:
             return None
-        length = int.from_bytes(self._buffer[:LENGTH_BYTES], "big")
-        limit = MAX_FRAME_BYTES if self.ready else MAX_GREETING_BYTES
+        length = int.from_bytes(self._receive_buffer[:LENGTH_BYTES], "big")
+        limit = MAX_FRAME_BYTES if self.ready else MAX_HANDSHAKE_FRAME_BYTES
         if length > limit:
             raise MessageTooLargeError(
-                f"peer announced a frame of {length} bytes, over the limit of {limit}"
+                f"peer announced a frame of {length} bytes; the limit is {limit}"
             )
         end = LENGTH_BYTES + length
-        if len(self._buffer) < end + CODE_BYTES:
+        if len(self._receive_buffer) < end + CODE_BYTES:
             return None
-        body = bytes(self._buffer[LENGTH_BYTES:end])
-        code = bytes(self._buffer[end : end + CODE_BYTES])
-        del self._buffer[: end + CODE_BYTES]
+        body = bytes(self._receive_buffer[LENGTH_BYTES:end])
+        code = bytes(self._receive_buffer[end : end + CODE_BYTES])
+        del self._receive_buffer[: end + CODE_BYTES]
         return body, code
 
-    def _take(self, body: bytes, code: bytes) -> None:
+    def _process_frame(self, body: bytes, code: bytes) -> None:
         if self.peer is None:
             self._authenticator.verify(HELLO_CONTEXT, body, code)
-            self._greet(decode(body))
+            self._process_hello(decode(body))
             return
-        context = self._receive_prefix + self._received.to_bytes(SEQUENCE_BYTES, "big")
+        context = self._receive_context + self._frames_received.to_bytes(
+            SEQUENCE_BYTES, "big"
+        )
         self._authenticator.verify(context, body, code)
-        self._received += 1
+        self._frames_received += 1
         messages = decode(body)
         if not self.ready:
             self.ready = True
@@ -227,21 +230,23 @@
                 return
             self._owner.link_received(self, message)
 
-    def _greet(self, messages: list[Message]) -> None:
+    def _process_hello(self, messages: list[Message]) -> None:
         match messages:
             case [Hello(nonce=nonce) as peer] if len(nonce) == NONCE_BYTES:
                 self.peer = peer
             case _:
-                raise MessageMalformedError("the first frame is not a single Hello")
-        # A frame sent back to its sender has the nonces in the wrong order.
-        self._send_prefix = self._hello.nonce + peer.nonce
-        self._receive_prefix = peer.nonce + self._hello.nonce
-        if not self._owner.link_greeted(self):
+                raise MessageMalformedError(
+                    "the first frame is not a single valid Hello"
+                )
+        # The nonces are ordered by direction, so that reflected frames are rejected.
+        self._send_context = self._hello.nonce + peer.nonce
+        self._receive_context = peer.nonce + self._hello.nonce
+        if not self._owner.link_identified(self):
             self.close()
             return
         self.send(encode(()))
 
-    def _reject(self, error: BorageworksError) -> None:
+    def _reject_peer(self, error: BorageworksError) -> None:
         self._metrics.count("peer_links_rejected", error.code)
         emit(
             Event.PEER_REJECTED,
@@ -254,16 +259,16 @@
             self._transport.abort()
 
 
-def _detect_silence(raw: socket.socket) -> None:
-    """Make the kernel close a connection whose peer has vanished."""
-    raw.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
+def _enable_dead_peer_detection(tcp_socket: socket.socket) -> None:
+    """Let the kernel close the connection when the peer stops responding."""
+    tcp_socket.setsockopt(socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1)
     options = (
         ("TCP_KEEPIDLE", KEEPALIVE_IDLE_S),
         ("TCP_KEEPINTVL", KEEPALIVE_INTERVAL_S),
-        ("TCP_KEEPCNT", KEEPALIVE_PROBES),
-        ("TCP_USER_TIMEOUT", USER_TIMEOUT_MS),
+        ("TCP_KEEPCNT", KEEPALIVE_PROBE_COUNT),
+        ("TCP_USER_TIMEOUT", TCP_USER_TIMEOUT_MS),
     )
     for name, value in options:
         option = getattr(socket, name, None)
-        if option is not None:  # not every platform has all of them
-            raw.setsockopt(socket.IPPROTO_TCP, option, value)
+        if option is not None:  # not all platforms have all options
+            tcp_socket.setsockopt(socket.IPPROTO_TCP, option, value)
--- a/borageworks/wire/link_settings.py
+++ b/borageworks/wire/link_settings.py
@@ -12,11 +12,11 @@
     Parameters
     ----------
     instance, domain
-        Own name and failure domain.
+        Name and failure domain of this instance.
     host, port
-        Address to listen on; port 0 takes a free one.
+        Address to listen on; port 0 selects a free port.
     keys
-        Shared secrets in hexadecimal; the first signs, all verify.
+        Shared keys in hexadecimal; the first signs, all are accepted.
     """
 
     instance: str
--- a/borageworks/wire/links.py
+++ b/borageworks/wire/links.py
@@ -1,4 +1,4 @@
-"""Links to all other instances."""
+"""Connections to all other instances."""
 
 from __future__ import annotations
 
@@ -24,35 +24,36 @@
     ReplicaNews,
 )
 
-QUEUE_BYTES = 8 << 20  # per peer, estimated
-MESSAGE_BYTES = 128  # estimate of a message without its body
-FRAME_BYTES = MAX_FRAME_BYTES // 2  # estimated; leaves room for the estimate's error
-LAZY_S = 0.5
+MAX_QUEUE_BYTES = 8 << 20  # per peer, of estimated message sizes
+MESSAGE_OVERHEAD_BYTES = 128  # estimate, without the variable part
+# Bounds the estimated size; leaves room for the error of the estimate.
+MAX_BATCH_BYTES = MAX_FRAME_BYTES // 2
+MAX_LAZY_DELAY_S = 0.5
 CONNECT_TIMEOUT_S = 2.0
 HANDSHAKE_TIMEOUT_S = 2.0
-# Links that both sides opened at the same time are ready within this time.
-SIMULTANEOUS_S = 2.0
-BACKOFF_FIRST_S = 0.1
-BACKOFF_LIMIT_S = 5.0
-UNGREETED_LIMIT = 256  # accepted connections that have not finished the handshake
+# Two links that both sides opened at the same time become ready within this time.
+SIMULTANEOUS_CONNECT_S = 2.0
+INITIAL_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 5.0
+MAX_PENDING_HANDSHAKES = 256  # accepted connections only
 
 
 def _incarnation(link: Link) -> int:
     return link.peer.incarnation if link.peer is not None else 0
 
 
-def _size(message: Message) -> int:
+def _estimate_bytes(message: Message) -> int:
     match message:
         case HeldAnswerReply(body=body):
-            return MESSAGE_BYTES + len(body)
+            return MESSAGE_OVERHEAD_BYTES + len(body)
         case CatalogObjects(objects=objects):
-            return MESSAGE_BYTES + sum(8 + len(item) for item in objects)
+            return MESSAGE_OVERHEAD_BYTES + sum(8 + len(item) for item in objects)
         case ReplicaNews(items=items):
-            return MESSAGE_BYTES + sum(
+            return MESSAGE_OVERHEAD_BYTES + sum(
                 len(item.key) + len(item.value) for item in items
             )
         case _:
-            return MESSAGE_BYTES
+            return MESSAGE_OVERHEAD_BYTES
 
 
 @dataclass(slots=True)
@@ -60,41 +61,41 @@
     instance: str
     address: tuple[str, int] | None = None
     link: Link | None = None
-    dial: Link | None = None
+    pending_link: Link | None = None
     queue: deque[tuple[Message, int]] = field(default_factory=deque)
     queued_bytes: int = 0
-    backoff: float = 0.0
-    retry: Subscription | None = None
-    lazy: Subscription | None = None
-    wanted: bool = False
-    keep_queue: bool = False
+    backoff_s: float = 0.0
+    retry_timer: Subscription | None = None
+    lazy_timer: Subscription | None = None
+    reconnect_on_retry: bool = False
+    queue_while_retrying: bool = False
 
 
 class PeerLinks:
-    """Connects to instances on demand and sends them messages.
+    """Connects to other instances on demand and exchanges messages with them.
 
-    Messages to one instance arrive in order or are lost; a loss is always followed by
+    Messages to one instance arrive in order or are lost. Each loss is followed by
     `on_disconnected` or counted in `peer_messages_dropped` with its reason.
 
     Parameters
     ----------
     settings
-        Own name, address to listen on, and shared secrets.
+        Own name, address to listen on, and shared keys.
     incarnation
-        Number that tells this process from its predecessors.
+        Number that distinguishes this process from earlier ones of the instance.
     timers
         Timers of the process.
     metrics
-        Counts dropped messages and rejected links.
+        Counts connections, disconnections, rejected links and dropped messages.
     on_message
-        Called with the sending instance and its message.
+        Called with the sender and the message.
     on_connected
-        Called with an instance when messages reach it again. It is called again, after
-        `on_disconnected`, when a new connection replaces a broken one.
+        Called with an instance when messages can reach it. When a new connection
+        replaces a broken one, it is called again after `on_disconnected`.
     on_disconnected
-        Called with an instance when its connection has ended.
+        Called with an instance when the connection to it has ended.
     rng
-        Source of the reconnect jitter.
+        Random source of the reconnect jitter.
     """
 
     def __init__(
@@ -120,12 +121,12 @@
         self._peers: dict[str, _Peer] = {}
         self._links: set[Link] = set()
         self._tasks: set[asyncio.Task[None]] = set()
-        self._dirty: set[str] = set()
+        self._instances_to_flush: set[str] = set()
         self._flush_scheduled = False
         self._server: asyncio.Server | None = None
         self._stopped = False
-        self._closed_bytes_sent = 0
-        self._closed_bytes_received = 0
+        self._closed_links_bytes_sent = 0
+        self._closed_links_bytes_received = 0
 
     @property
     def address(self) -> tuple[str, int]:
@@ -137,20 +138,22 @@
 
     @property
     def connected(self) -> frozenset[str]:
-        """Instances with a working link."""
+        """Instances with a ready link."""
         return frozenset(
             peer.instance for peer in self._peers.values() if peer.link is not None
         )
 
     @property
     def bytes_sent(self) -> int:
-        """Bytes sent, with TCP/IP headers of one packet per write."""
-        return self._closed_bytes_sent + sum(link.bytes_sent for link in self._links)
+        """Bytes sent, including TCP/IP headers, assuming one packet per write."""
+        return self._closed_links_bytes_sent + sum(
+            link.bytes_sent for link in self._links
+        )
 
     @property
     def bytes_received(self) -> int:
-        """Bytes received, with TCP/IP headers of one packet per read."""
-        return self._closed_bytes_received + sum(
+        """Bytes received, including TCP/IP headers, assuming one packet per read."""
+        return self._closed_links_bytes_received + sum(
             link.bytes_received for link in self._links
         )
 
@@ -161,7 +164,7 @@
         self._server = await loop.create_server(self._accept, host, port)
 
     async def stop(self) -> None:
-        """Send what is queued on open links, then close all."""
+        """Send queued messages on ready links, then close all links."""
         self._flush()
         self._stopped = True
         if self._server is not None:
@@ -170,48 +173,49 @@
         for task in tasks:
             task.cancel()
         for peer in list(self._peers.values()):
-            if peer.retry is not None:
-                peer.retry.cancel()
-            if peer.lazy is not None:
-                peer.lazy.cancel()
+            if peer.retry_timer is not None:
+                peer.retry_timer.cancel()
+            if peer.lazy_timer is not None:
+                peer.lazy_timer.cancel()
             self._drop_queue(peer, "stopped")
         for link in list(self._links):
             link.close()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def set_address(self, instance: str, host: str, port: int) -> None:
-        """Set where an instance listens; a connection is made when needed."""
+        """Set the address of an instance; does not connect to it yet."""
         peer = self._peer(instance)
         if peer.address != (host, port):
             peer.address = (host, port)
-            peer.backoff = 0.0
-            if peer.retry is not None:
-                peer.retry.cancel()
-                peer.retry = None
+            peer.backoff_s = 0.0
+            if peer.retry_timer is not None:
+                peer.retry_timer.cancel()
+                peer.retry_timer = None
 
     def remove(self, instance: str) -> None:
-        """Close the link to an instance and forget its address."""
+        """Close the links to an instance and discard its address."""
         peer = self._peers.pop(instance, None)
         if peer is None:
             return
-        self._dirty.discard(instance)
+        self._instances_to_flush.discard(instance)
         self._drop_queue(peer, "removed")
-        if peer.retry is not None:
-            peer.retry.cancel()
-        if peer.lazy is not None:
-            peer.lazy.cancel()
+        if peer.retry_timer is not None:
+            peer.retry_timer.cancel()
+        if peer.lazy_timer is not None:
+            peer.lazy_timer.cancel()
         for link in self._links:
             if instance in (link.dialed, link.peer and link.peer.instance):
                 link.close()
         if peer.link is not None:
             peer.link = None
-            self._disconnected(instance)
+            self._report_disconnected(instance)
 
     def send(self, instance: str, message: Message, *, lazy: bool = False) -> bool:
-        """Queue a message until the end of this loop turn.
+        """Queue a message, to be sent in the next iteration of the event loop.
 
-        A lazy message waits for the next other message to the instance, for half a
-        second at most, since a frame of its own costs more bytes than its content.
+        A lazy message is sent together with the next other message to the instance, but
+        after half a second at most: a separate frame adds more bytes than the message
+        itself has.
 
         Returns
         -------
@@ -225,41 +229,47 @@
         if self._stopped:
             self._metrics.count("peer_messages_dropped", "stopped")
             return False
-        if peer.link is None and peer.retry is not None and not peer.keep_queue:
-            # Connecting failed a moment ago: a late message could be harmful.
-            peer.wanted = True
+        if (
+            peer.link is None
+            and peer.retry_timer is not None
+            and not peer.queue_while_retrying
+        ):
+            # Connecting has just failed; a message sent late could do harm.
+            peer.reconnect_on_retry = True
             self._metrics.count("peer_messages_dropped", "unreachable")
             return False
-        size = _size(message)
-        if peer.queued_bytes + size > QUEUE_BYTES:
+        message_bytes = _estimate_bytes(message)
+        if peer.queued_bytes + message_bytes > MAX_QUEUE_BYTES:
             self._metrics.count("peer_messages_dropped", "queue_full")
             return False
-        peer.queue.append((message, size))
-        peer.queued_bytes += size
+        peer.queue.append((message, message_bytes))
+        peer.queued_bytes += message_bytes
         if not lazy:
-            self._mark(instance)
-        elif peer.lazy is None or peer.lazy.cancelled:
-            peer.lazy = self._timers.after(LAZY_S, lambda _now: self._mark(instance))
+            self._schedule_flush(instance)
+        elif peer.lazy_timer is None or peer.lazy_timer.cancelled:
+            peer.lazy_timer = self._timers.after(
+                MAX_LAZY_DELAY_S, lambda _now: self._schedule_flush(instance)
+            )
         return True
 
-    def link_greeted(self, link: Link) -> bool:
-        """Decide whether the connection of a named peer goes on."""
+    def link_identified(self, link: Link) -> bool:
+        """Reject unexpected peers and one of two simultaneous connections."""
         assert link.peer is not None
         instance = link.peer.instance
         if instance == self._settings.instance:
-            return self._refuse(link, "own_instance")
+            return self._reject(link, "own_instance")
         if link.dialed is not None:
             if instance != link.dialed:
-                return self._refuse(link, "other_instance")
+                return self._reject(link, "other_instance")
             return True
         peer = self._peers.get(instance)
-        if peer is not None and peer.dial is not None:
-            # Both sides connect: the connection of the lesser name is kept.
+        if peer is not None and peer.pending_link is not None:
+            # Both sides connect: keep the connection opened by the smaller name.
             return instance < self._settings.instance
         return True
 
     def link_ready(self, link: Link) -> None:
-        """Use the link for its peer."""
+        """Start to use the link for messages to its peer."""
         assert link.peer is not None
         instance = link.peer.instance
         if self._stopped or (link.dialed is not None and instance not in self._peers):
@@ -268,67 +278,69 @@
         peer = self._peer(instance)
         old = peer.link
         if old is not None and _incarnation(old) > _incarnation(link):
-            self._refuse(link, "older_incarnation")
+            self._reject(link, "older_incarnation")
             link.close()
             return
         link.ready_at = self._timers.now()
-        if peer.dial is not None:
-            dial, peer.dial = peer.dial, None
-            if dial is not link:
-                dial.close()
-        peer.backoff = 0.0
-        if peer.retry is not None:
-            peer.retry.cancel()
-            peer.retry = None
+        if peer.pending_link is not None:
+            pending_link, peer.pending_link = peer.pending_link, None
+            if pending_link is not link:
+                pending_link.close()
+        peer.backoff_s = 0.0
+        if peer.retry_timer is not None:
+            peer.retry_timer.cancel()
+            peer.retry_timer = None
         peer.link = link
         if old is not None:
-            if self._simultaneous(old, link):
-                spare = old
-                if self._opened_by_lesser(old):
-                    peer.link, spare = old, link
-                # The peer may still have sent messages on the other link.
-                self._timers.after(SIMULTANEOUS_S, lambda _now: spare.close())
-                self._mark(instance)
+            if self._opened_simultaneously(old, link):
+                redundant = old
+                if self._opened_by_smaller_name(old):
+                    peer.link, redundant = old, link
+                # Messages from the peer may still be in flight on the redundant link.
+                self._timers.after(
+                    SIMULTANEOUS_CONNECT_S, lambda _now: redundant.close()
+                )
+                self._schedule_flush(instance)
                 return
             old.close()
-            self._disconnected(instance)
+            self._report_disconnected(instance)
         emit(Event.PEER_CONNECTED, instance=instance)
         self._metrics.count("peer_connections")
         self._on_connected(instance)
-        self._mark(instance)
+        self._schedule_flush(instance)
 
     def link_received(self, link: Link, message: Message) -> None:
-        """Pass a message on."""
+        """Pass the message to `on_message`."""
         assert link.peer is not None
         self._on_message(link.peer.instance, message)
 
     def link_writable(self, link: Link) -> None:
-        """Send what has been queued meanwhile."""
+        """Send the messages queued since the transport's buffer was full."""
         if link.peer is not None:
-            self._mark(link.peer.instance)
+            self._schedule_flush(link.peer.instance)
 
     def link_closed(self, link: Link) -> None:
-        """Forget a link."""
+        """Report the lost connection and reconnect if messages are queued."""
         if link in self._links:
             self._links.discard(link)
-            self._closed_bytes_sent += link.bytes_sent
-            self._closed_bytes_received += link.bytes_received
+            self._closed_links_bytes_sent += link.bytes_sent
+            self._closed_links_bytes_received += link.bytes_received
         instance = link.peer.instance if link.peer else link.dialed
         peer = self._peers.get(instance) if instance is not None else None
         if peer is None or self._stopped:
             return
-        if peer.dial is link:
-            peer.dial = None
-            self._back_off(peer, answered=link.peer is not None)
+        if peer.pending_link is link:
+            peer.pending_link = None
+            self._schedule_retry(peer, hello_received=link.peer is not None)
         if peer.link is link:
             peer.link = None
             self._drop_queue(peer, "disconnected")
-            self._disconnected(peer.instance)
-        if peer.link is None and peer.dial is None:
+            self._report_disconnected(peer.instance)
+        if peer.link is None and peer.pending_link is None:
             if peer.address is None:
                 self._peers.pop(peer.instance, None)
             elif peer.queue:
-                self._mark(peer.instance)
+                self._schedule_flush(peer.instance)
 
     def _peer(self, instance: str) -> _Peer:
         peer = self._peers.get(instance)
@@ -338,23 +350,23 @@
 
     def _accept(self) -> Link:
         link = Link(self, self._hello, self._authenticator, self._metrics, None)
-        waiting = sum(
+        pending = sum(
             1 for other in self._links if not other.ready and other.dialed is None
         )
-        if self._stopped or waiting >= UNGREETED_LIMIT:
+        if self._stopped or pending >= MAX_PENDING_HANDSHAKES:
             self._metrics.count("peer_links_rejected", "too_many")
             link.close()
             return link
         self._links.add(link)
-        self._limit_handshake(link)
+        self._start_handshake_timeout(link)
         return link
 
-    def _limit_handshake(self, link: Link) -> None:
+    def _start_handshake_timeout(self, link: Link) -> None:
         self._timers.after(
             HANDSHAKE_TIMEOUT_S, lambda _now: None if link.ready else link.close()
         )
 
-    def _refuse(self, link: Link, reason: str) -> bool:
+    def _reject(self, link: Link, reason: str) -> bool:
         assert link.peer is not None
         self._metrics.count("peer_links_rejected", reason)
         emit(
@@ -365,52 +377,54 @@
         )
         return False
 
-    def _simultaneous(self, old: Link, new: Link) -> bool:
+    def _opened_simultaneously(self, old: Link, new: Link) -> bool:
         return (
             not old.closed
             and _incarnation(old) == _incarnation(new)
             and (old.dialed is None) != (new.dialed is None)
-            and new.ready_at - old.ready_at < SIMULTANEOUS_S
+            and new.ready_at - old.ready_at < SIMULTANEOUS_CONNECT_S
         )
 
-    def _opened_by_lesser(self, link: Link) -> bool:
+    def _opened_by_smaller_name(self, link: Link) -> bool:
         assert link.peer is not None
-        own_is_lesser = self._settings.instance < link.peer.instance
-        return own_is_lesser == (link.dialed is not None)
+        own_name_is_smaller = self._settings.instance < link.peer.instance
+        return own_name_is_smaller == (link.dialed is not None)
 
-    def _disconnected(self, instance: str) -> None:
+    def _report_disconnected(self, instance: str) -> None:
         emit(Event.PEER_DISCONNECTED, instance=instance)
         self._metrics.count("peer_disconnections")
         self._on_disconnected(instance)
 
-    def _mark(self, instance: str) -> None:
-        self._dirty.add(instance)
+    def _schedule_flush(self, instance: str) -> None:
+        self._instances_to_flush.add(instance)
         if not self._flush_scheduled:
             self._flush_scheduled = True
             asyncio.get_running_loop().call_soon(self._flush)
 
     def _flush(self) -> None:
         self._flush_scheduled = False
-        dirty, self._dirty = self._dirty, set()
+        instances, self._instances_to_flush = self._instances_to_flush, set()
         if self._stopped:
             return
-        for instance in dirty:
+        for instance in instances:
             peer = self._peers.get(instance)
             if peer is None or not peer.queue:
                 continue
             if peer.link is not None:
                 self._flush_peer(peer, peer.link)
-            elif peer.dial is None and peer.retry is None:
+            elif peer.pending_link is None and peer.retry_timer is None:
                 self._connect(peer)
 
     def _flush_peer(self, peer: _Peer, link: Link) -> None:
         while peer.queue and link.writable:
             batch: list[Message] = []
-            total = 0
-            while peer.queue and (not batch or total + peer.queue[0][1] < FRAME_BYTES):
-                message, size = peer.queue.popleft()
-                peer.queued_bytes -= size
-                total += size
+            batch_bytes = 0
+            while peer.queue and (
+                not batch or batch_bytes + peer.queue[0][1] < MAX_BATCH_BYTES
+            ):
+                message, message_bytes = peer.queue.popleft()
+                peer.queued_bytes -= message_bytes
+                batch_bytes += message_bytes
                 batch.append(message)
             self._send_batch(link, batch)
 
@@ -429,11 +443,11 @@
         if peer.address is None:
             self._drop_queue(peer, "address_unknown")
             return
-        peer.wanted = False
+        peer.reconnect_on_retry = False
         link = Link(
             self, self._hello, self._authenticator, self._metrics, peer.instance
         )
-        peer.dial = link
+        peer.pending_link = link
         self._links.add(link)
         task = asyncio.get_running_loop().create_task(self._dial(link, peer.address))
         self._tasks.add(task)
@@ -448,23 +462,23 @@
             link.close()
             self.link_closed(link)
             return
-        self._limit_handshake(link)
+        self._start_handshake_timeout(link)
 
-    def _back_off(self, peer: _Peer, answered: bool) -> None:
+    def _schedule_retry(self, peer: _Peer, hello_received: bool) -> None:
         if peer.link is not None:
             return
-        peer.wanted = bool(peer.queue)
-        # A peer that greets and then closes is connecting to this instance itself.
-        peer.keep_queue = answered and peer.backoff == 0.0
-        if not peer.keep_queue:
+        peer.reconnect_on_retry = bool(peer.queue)
+        # A peer that closes after its Hello is connecting to this instance itself.
+        peer.queue_while_retrying = hello_received and peer.backoff_s == 0.0
+        if not peer.queue_while_retrying:
             self._drop_queue(peer, "unreachable")
-        peer.backoff = min(max(peer.backoff * 2, BACKOFF_FIRST_S), BACKOFF_LIMIT_S)
-        delay = peer.backoff * self._rng.uniform(0.5, 1.0)
-        peer.retry = self._timers.after(delay, lambda _now: self._retry(peer))
+        peer.backoff_s = min(max(peer.backoff_s * 2, INITIAL_BACKOFF_S), MAX_BACKOFF_S)
+        delay_s = peer.backoff_s * self._rng.uniform(0.5, 1.0)
+        peer.retry_timer = self._timers.after(delay_s, lambda _now: self._retry(peer))
 
     def _retry(self, peer: _Peer) -> None:
-        peer.retry = None
-        if peer.wanted and peer.link is None and peer.dial is None:
+        peer.retry_timer = None
+        if peer.reconnect_on_retry and peer.link is None and peer.pending_link is None:
             self._connect(peer)
 
     def _drop_queue(self, peer: _Peer, reason: str) -> None:
--- a/borageworks/wire/messages.py
+++ b/borageworks/wire/messages.py
@@ -1,6 +1,6 @@
 """Messages between instances.
 
-The closed set of messages stands in one file, since receivers match on all of them.
+All messages are defined in one module, since receivers match on the complete set.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 
 class ClaimOutcome(IntEnum):
-    """Answer of a shard writer to a claim."""
+    """Result of a claim, decided by the writer of its shard."""
 
     CLAIMED = 0
     DUPLICATE = 1
@@ -42,7 +42,7 @@
 
 
 class HeldAnswer(IntEnum):
-    """What the holder of a claim knows about its answer."""
+    """Whether the holder of a claim has the response of the claimed request."""
 
     GONE = 0
     RUNNING = 1
@@ -50,7 +50,7 @@
 
 
 class MemberState(IntEnum):
-    """Membership state; a higher value wins at the same incarnation."""
+    """Membership state; at equal incarnations the higher value wins."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -70,7 +70,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Demand:
-    """Number of an organisation's requests that wait at the sender."""
+    """Number of requests of an organisation that wait at the sender."""
 
     pool: str
     organisation: str
@@ -81,8 +81,8 @@
 class Grant:
     """A slot of an endpoint for one request of one organisation.
 
-    A standing slot may be kept after the request and used for others of the pool,
-    without a message for each, until it is recalled or stays idle.
+    A standing slot may be retained after the request and reused for other requests of
+    the pool, without a message for each, until it is recalled or idle.
     """
 
     grant_id: int
@@ -94,12 +94,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Release:
-    """End of the use of a grant.
+    """End of a request that used a grant.
 
     `units` are service units; `first_token` and `token_interval` are seconds, 0.0 when
-    not measured. `fingerprint` identifies the request when the endpoint seems to have
-    crashed, else it is empty. With `keep` the request ended and the standing slot is
-    kept.
+    not measured. `fingerprint` identifies the request if the endpoint seems to have
+    crashed, else it is empty. With `keep` the sender retains the standing slot.
     """
 
     grant_id: int
@@ -113,7 +112,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Recall:
-    """Asks for the standing slots of a pool, or of one endpoint if it is given."""
+    """Asks to return the standing slots of a pool, or of one endpoint if given."""
 
     pool: str
     endpoint: str
@@ -121,7 +120,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointLost:
-    """An endpoint restarted, so that nothing runs there now, or does not answer."""
+    """An endpoint has restarted, so that nothing runs on it, or does not respond."""
 
     endpoint: str
     restarted: bool
@@ -129,9 +128,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Used:
-    """Service units received on kept standing slots since the last such message.
+    """Service units received on retained standing slots since the previous message.
 
-    `requests` counts the requests that ended.
+    `requests` counts the requests that ended in that time.
     """
 
     pool: str
@@ -150,7 +149,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Running:
-    """A running request, told to a new owner of its endpoint."""
+    """A running request, reported to a new owner of its endpoint."""
 
     grant_id: int
     endpoint: str
@@ -164,9 +163,9 @@
     """Service units that an organisation received from one owner incarnation.
 
     An aggregator reports the sum of its domain to the aggregators of other domains;
-    `owner` is then empty, `owners` counts the owners that hold demand, and `offset` and
-    `share` describe the organisation's level (see `Level`); a share of 0.0 stands for
-    no level.
+    `owner` is then empty, `owners` counts the owners with demand, and `offset` and
+    `share` describe the organisation's virtual time (see `VirtualTimeRecord`); a
+    share of 0.0 means none.
     """
 
     pool: str
@@ -183,7 +182,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServiceError:
-    """Normalised service of an organisation less the mean over the backlogged ones."""
+    """Normalised service of an organisation minus the mean of the backlogged ones."""
 
     pool: str
     organisation: str
@@ -194,7 +193,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Claim:
-    """Request to record that a non-idempotent request is about to run."""
+    """Asks to record that a non-idempotent request is about to run."""
 
     request_id: int
     shard: int
@@ -206,7 +205,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimReply:
-    """Answer to a claim."""
+    """Reply to a claim."""
 
     request_id: int
     outcome: ClaimOutcome
@@ -225,7 +224,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HeldAnswerQuery:
-    """Asks the holder of a claim for its answer."""
+    """Asks the holder of a claim for the response."""
 
     request_id: int
     key_hash: bytes
@@ -233,7 +232,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HeldAnswerReply:
-    """Answer of the first request with an idempotency key."""
+    """Response to the first request with an idempotency key."""
 
     request_id: int
     found: HeldAnswer
@@ -244,7 +243,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CatalogDigest:
-    """Revision and one hash per bucket of the sender's replica."""
+    """Revision of the sender's replica, and a hash of each of its buckets."""
 
     revision: int
     buckets: tuple[int, ...]
@@ -266,7 +265,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AloneDemand:
-    """A request that must run with no other request beside it; repeated each second."""
+    """Demand for a request that must run in isolation; repeated every second."""
 
     request_id: int
     pool: str
@@ -275,7 +274,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AloneGrant:
-    """All slots of an endpoint for one request."""
+    """Grant of all slots of an endpoint for one request in isolation."""
 
     request_id: int
     grant: Grant
@@ -283,7 +282,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Suspect:
-    """An endpoint incarnation crashed while it ran a request with this fingerprint."""
+    """An endpoint incarnation crashed while running a request with this fingerprint."""
 
     fingerprint: bytes
     endpoint: str
@@ -292,7 +291,7 @@
 
 
 class PlaceState(IntEnum):
-    """What became of a request for an endpoint."""
+    """State of a request for an endpoint."""
 
     PLACED = 0
     REFUSED = 1
@@ -301,7 +300,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PromptPiece:
-    """A part of a prompt."""
+    """A part of a prompt with its own identity."""
 
     id: str
     tokens: int
@@ -309,10 +308,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PlaceRequest:
-    """Asks the instance that places a service's requests for an endpoint.
+    """Requests an endpoint from the instance that places requests of the service.
 
-    `aim_s` and `patience_s` are seconds from now; `prompt` tells whether the fields
-    after it describe a prompt.
+    `aim_s` is the target latency and `patience_s` the remaining time. The fields after
+    `prompt` describe a prompt only if it is true.
     """
 
     number: int
@@ -332,10 +331,11 @@
 
 @dataclass(frozen=True, slots=True)
 class PlaceReply:
-    """Answer to a request for an endpoint; one that waits gets another one later.
+    """Reply to a `PlaceRequest`; one that waits gets another reply later.
 
-    `seconds_per_token` and `start_s` are the reading speed of engines that the owner
-    has learned, for whoever owns the shard next; 0 if it has learned none.
+    `unread_tokens` counts the uncached tokens. `seconds_per_token` and `start_s` are
+    the prefill speed of engines as measured by the owner, for the next owner of the
+    shard; 0 if it has not been measured.
     """
 
     number: int
@@ -350,14 +350,14 @@
 
 @dataclass(frozen=True, slots=True)
 class PlaceWithdraw:
-    """The request for an endpoint is void."""
+    """Withdraws a `PlaceRequest`."""
 
     number: int
 
 
 @dataclass(frozen=True, slots=True)
 class WorkStarted:
-    """The endpoint has begun to answer a placed request."""
+    """The endpoint has begun to respond to a placed request."""
 
     number: int
 
@@ -372,7 +372,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WorkRunning:
-    """A request that another instance placed and that still runs."""
+    """A running request that another instance has placed."""
 
     request: PlaceRequest
     endpoint: str
@@ -381,7 +381,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaItem:
-    """An item of the platform's store, as of its revision."""
+    """An item of the platform's store and its revision."""
 
     key: str
     value: bytes
@@ -390,11 +390,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaNews:
-    """What a reader of the store learned, for an instance that does not read it itself.
+    """Changes of the platform's store, for an instance that does not read it itself.
 
-    It changes a copy that has reached `after` into one that has reached `revision`.
-    `lapse_grace_s` is the time for which endpoints whose entry is gone are still used;
-    `age_s` the time since the store vouched for `revision`.
+    They update a copy from revision `after` to `revision`. `lapse_grace_s` is the grace
+    period in which endpoints are still used after their entry has gone; `age_s` is the
+    time since the store confirmed `revision`.
     """
 
     after: int
@@ -407,7 +407,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberUpdate:
-    """State of one member as the sender knows it."""
+    """State of one member as known to the sender."""
 
     instance: str
     domain: str
@@ -441,7 +441,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ack:
-    """Answer to a probe."""
+    """Reply to a probe."""
 
     sequence: int
     sender: MemberUpdate
--- a/borageworks/wire/tests/test_links.py
+++ b/borageworks/wire/tests/test_links.py
@@ -1,4 +1,4 @@
-"""Tests of the links between instances, over loopback."""
+"""Tests of the links between instances, over loopback connections."""
 
 import asyncio
 import functools
@@ -38,17 +38,19 @@
     )
 
 
-class Node:
+class Peer:
     """PeerLinks that records its events."""
 
-    def __init__(self, instance: str, keys: tuple[str, ...] = (OLD_KEY,), number=1):
+    def __init__(
+        self, instance: str, keys: tuple[str, ...] = (OLD_KEY,), incarnation=1
+    ):
         self.instance = instance
         self.metrics = Metrics()
         self.messages: list[object] = []
         self.events: list[str] = []
         self.links = PeerLinks(
             make_settings(instance, keys).link,
-            number,
+            incarnation,
             Timers(),
             self.metrics,
             lambda _instance, message: self.messages.append(message),
@@ -57,152 +59,154 @@
             random.Random(7),
         )
 
-    def knows(self, other: "Node") -> None:
+    def set_address_of(self, other: "Peer") -> None:
         self.links.set_address(other.instance, *other.links.address)
 
 
-async def until(condition: Callable[[], object]) -> None:
-    """Wait for a condition; the limit only ends a test that would hang."""
+async def wait_until(condition: Callable[[], object]) -> None:
+    """Wait for a condition; the timeout only ends a test that would hang."""
     async with asyncio.timeout(20):
         while not condition():  # noqa: ASYNC110 - counters have no event to await
             await asyncio.sleep(0.005)
 
 
 def frame(body: bytes, context: bytes, keys: tuple[str, ...] = (OLD_KEY,)) -> bytes:
-    """Return a frame as a link sends it."""
+    """Return a frame in the format of `Link`."""
     code = Authenticator(keys).sign(context, body)
     return len(body).to_bytes(4, "big") + body + code
 
 
 class PeerLinksTests(TestCase):
-    def run_with(
-        self, scenario: Callable[..., Awaitable[None]], *nodes: tuple[Any, ...]
+    def run_scenario(
+        self, scenario: Callable[..., Awaitable[None]], *peers: tuple[Any, ...]
     ) -> None:
         async def run() -> None:
-            started = [Node(*arguments) for arguments in nodes]
-            for node in started:
-                await node.links.start()
+            started = [Peer(*arguments) for arguments in peers]
+            for peer in started:
+                await peer.links.start()
             try:
                 await scenario(*started)
             finally:
-                for node in started:
-                    await node.links.stop()
+                for peer in started:
+                    await peer.links.stop()
 
         asyncio.run(run())
 
     def test_order_and_batches(self):
-        """Guards against lost, repeated or reordered messages and one write each."""
+        """Guards against lost, repeated or reordered messages and a write for each."""
 
         async def scenario(a, b):
-            a.knows(b)
+            a.set_address_of(b)
             sent = [Demand("p", "o", number) for number in range(3000)]
             for message in sent:
                 a.links.send("b", message)
-            await until(lambda: len(b.messages) >= 3000)
+            await wait_until(lambda: len(b.messages) >= 3000)
             self.assertEqual(sent, b.messages)
-            # A Hello, an empty frame and the batch.
+            # Three frames: the Hello, the empty frame and the batch.
             self.assertTrue(a.links.bytes_sent < 3000 * 52)
             b.links.send("a", sent[0])
-            await until(lambda: a.messages == sent[:1])
+            await wait_until(lambda: a.messages == sent[:1])
             self.assertEqual((["+b"], ["+a"]), (a.events, b.events))
 
-        self.run_with(scenario, ("a",), ("b",))
+        self.run_scenario(scenario, ("a",), ("b",))
 
-    def test_lazy_messages_wait_for_others_but_arrive(self):
-        """Guards against bookkeeping messages that are kept back for ever."""
+    def test_lazy_messages_arrive_with_others_or_after_a_delay(self):
+        """Guards against lazy messages that are never sent."""
 
         async def scenario(a, b):
-            a.knows(b)
+            a.set_address_of(b)
             sent = [Demand("p", "o", number) for number in range(4)]
             a.links.send("b", sent[0])
-            await until(lambda: len(b.messages) == 1)
+            await wait_until(lambda: len(b.messages) == 1)
             a.links.send("b", sent[1], lazy=True)
             a.links.send("b", sent[2])
-            await until(lambda: len(b.messages) == 3)
+            await wait_until(lambda: len(b.messages) == 3)
             a.links.send("b", sent[3], lazy=True)
-            await until(lambda: len(b.messages) == 4)
+            await wait_until(lambda: len(b.messages) == 4)
             self.assertEqual(sent, b.messages)
 
-        self.run_with(scenario, ("a",), ("b",))
+        self.run_scenario(scenario, ("a",), ("b",))
 
     def test_simultaneous_connects(self):
-        """Guards against two links per pair, and against losing both of them."""
+        """Guards against two links per pair of instances, and against closing both."""
 
-        async def scenario(*nodes):
-            for node in nodes:
-                for other in nodes:
-                    if other is not node:
-                        node.knows(other)
-                        node.links.send(other.instance, Demand("p", node.instance, 1))
-            await until(lambda: all(len(node.messages) == 5 for node in nodes))
-            for node in nodes:
-                self.assertEqual(5, len(set(node.messages)))
-                self.assertEqual(5, len(node.events))
-                self.assertEqual(5, len(node.links.connected))
+        async def scenario(*peers):
+            for peer in peers:
+                for other in peers:
+                    if other is not peer:
+                        peer.set_address_of(other)
+                        peer.links.send(other.instance, Demand("p", peer.instance, 1))
+            await wait_until(lambda: all(len(peer.messages) == 5 for peer in peers))
+            for peer in peers:
+                self.assertEqual(5, len(set(peer.messages)))
+                self.assertEqual(5, len(peer.events))
+                self.assertEqual(5, len(peer.links.connected))
 
-        self.run_with(scenario, *[(name,) for name in "abcdef"])
+        self.run_scenario(scenario, *[(name,) for name in "abcdef"])
 
-    def test_unreachable_then_back(self):
-        """Guards against unbounded queues and a peer that is never tried again."""
+    def test_unreachable_peer_returns(self):
+        """Guards against unbounded queues and a peer that is never reconnected."""
 
         async def scenario(a, b):
-            a.knows(b)
+            a.set_address_of(b)
             await b.links.stop()
             a.links.send("b", Demand("p", "o", 1))
-            await until(lambda: a.metrics.value("peer_messages_dropped", "unreachable"))
+            await wait_until(
+                lambda: a.metrics.value("peer_messages_dropped", "unreachable")
+            )
             self.assertFalse(a.links.send("b", Demand("p", "o", 2)))
-            again = Node("b", (OLD_KEY,), 2)
-            await again.links.start()
-            a.knows(again)
+            restarted = Peer("b", (OLD_KEY,), 2)
+            await restarted.links.start()
+            a.set_address_of(restarted)
             a.links.send("b", Demand("p", "o", 3))
-            await until(lambda: again.messages == [Demand("p", "o", 3)])
-            await again.links.stop()
-            await until(lambda: a.events == ["+b", "-b"])
+            await wait_until(lambda: restarted.messages == [Demand("p", "o", 3)])
+            await restarted.links.stop()
+            await wait_until(lambda: a.events == ["+b", "-b"])
 
-        self.run_with(scenario, ("a",), ("b",))
+        self.run_scenario(scenario, ("a",), ("b",))
 
     def test_queue_is_bounded(self):
-        """Guards against memory that grows while a peer does not answer."""
+        """Guards against memory that grows while a peer is not connected."""
 
         async def scenario(a, b):
-            a.knows(b)
+            a.set_address_of(b)
             large = HeldAnswerReply(1, HeldAnswer.HELD, body=b"x" * 1_000_000)
             accepted = [a.links.send("b", large) for _ in range(20)]
             self.assertEqual(8, sum(accepted))
             self.assertEqual(12, a.metrics.value("peer_messages_dropped", "queue_full"))
-            await until(lambda: len(b.messages) == 8)
+            await wait_until(lambda: len(b.messages) == 8)
 
-        self.run_with(scenario, ("a",), ("b",))
+        self.run_scenario(scenario, ("a",), ("b",))
 
-    def test_message_over_the_limit(self):
-        """Guards against one large message that breaks the link for the others."""
+    def test_oversized_message_is_dropped(self):
+        """Guards against an oversized message that closes the link."""
 
         async def scenario(a, b):
-            a.knows(b)
+            a.set_address_of(b)
             body = random.Random(1).randbytes(MAX_FRAME_BYTES)
             a.links.send("b", Demand("p", "o", 1))
             a.links.send("b", HeldAnswerReply(1, HeldAnswer.HELD, body=body))
             a.links.send("b", Demand("p", "o", 2))
-            await until(lambda: len(b.messages) == 2)
+            await wait_until(lambda: len(b.messages) == 2)
             self.assertEqual(1, a.metrics.value("peer_messages_dropped", "too_large"))
 
-        self.run_with(scenario, ("a",), ("b",))
+        self.run_scenario(scenario, ("a",), ("b",))
 
     def test_key_rotation(self):
-        """Guards against links that break while keys are replaced."""
+        """Guards against links that fail during key rotation."""
 
         async def scenario(first, second, third, last):
-            for node, other in ((first, second), (second, third), (third, last)):
-                node.knows(other)
-                node.links.send(other.instance, Demand("p", "o", 1))
-                await until(functools.partial(len, other.messages))
-            first.knows(last)
+            for peer, other in ((first, second), (second, third), (third, last)):
+                peer.set_address_of(other)
+                peer.links.send(other.instance, Demand("p", "o", 1))
+                await wait_until(functools.partial(len, other.messages))
+            first.set_address_of(last)
             first.links.send("last", Demand("p", "o", 2))
             rejected = ("peer_links_rejected", "message_unauthentic")
-            await until(lambda: last.metrics.value(*rejected) > 0)
+            await wait_until(lambda: last.metrics.value(*rejected) > 0)
             self.assertEqual(1, len(last.messages))
 
-        self.run_with(
+        self.run_scenario(
             scenario,
             ("first", (OLD_KEY,)),
             ("second", (OLD_KEY, NEW_KEY)),
@@ -211,7 +215,7 @@
         )
 
     def test_hostile_connections(self):
-        """Guards against forged, replayed, reflected, oversized and bad frames."""
+        """Guards against forged, replayed, reflected, oversized and invalid frames."""
         hello = frame(encode([Hello("a", 9, "d", NONCE)]), HELLO_CONTEXT)
         demand = encode([Demand("p", "o", 1)])
         attacks = {
@@ -250,30 +254,30 @@
                     )
             self.assertEqual(([], []), (b.messages, b.events))
 
-        self.run_with(scenario, ("b",))
+        self.run_scenario(scenario, ("b",))
 
     def test_address_of_another_instance(self):
-        """Guards against messages sent to an instance that took over an address."""
+        """Guards against messages to an instance that took over an address."""
 
         async def scenario(a, b):
             a.links.set_address("c", *b.links.address)
             a.links.send("c", Demand("p", "o", 1))
             rejected = ("peer_links_rejected", "other_instance")
-            await until(lambda: a.metrics.value(*rejected) > 0)
+            await wait_until(lambda: a.metrics.value(*rejected) > 0)
             self.assertEqual([], b.messages)
 
-        self.run_with(scenario, ("a",), ("b",))
+        self.run_scenario(scenario, ("a",), ("b",))
 
     def test_remove(self):
-        """Guards against links to instances that have left the fleet."""
+        """Guards against links to removed instances."""
 
         async def scenario(a, b):
-            a.knows(b)
+            a.set_address_of(b)
             a.links.send("b", Demand("p", "o", 1))
-            await until(lambda: b.events == ["+a"])
+            await wait_until(lambda: b.events == ["+a"])
             a.links.remove("b")
-            await until(lambda: b.events == ["+a", "-a"])
+            await wait_until(lambda: b.events == ["+a", "-a"])
             self.assertEqual(["+b", "-b"], a.events)
             self.assertFalse(a.links.send("b", Demand("p", "o", 2)))
 
-        self.run_with(scenario, ("a",), ("b",))
+        self.run_scenario(scenario, ("a",), ("b",))
