--- a/borageworks/claims/__init__.py
+++ b/borageworks/claims/__init__.py
@@ -1,1 +1,1 @@
-"""At-most-once claims kept in journal shards of the platform store."""
+"""At-most-once claims, stored in sharded journals in the platform store."""
--- a/borageworks/claims/actions.py
+++ b/borageworks/claims/actions.py
@@ -1,6 +1,6 @@
-"""Input and actions of a claim shard.
+"""Input and output actions of a claim shard.
 
-The closed set stands in one file, since the claim service matches on all of them.
+All actions are defined in one module because the claim service matches on each of them.
 """
 
 from __future__ import annotations
@@ -13,20 +13,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimRequest:
-    """A claim that waits for its outcome.
+    """A claim that awaits its outcome.
 
     Parameters
     ----------
     request_id
-        Chosen by the holder; unique for one boot of it in its low 32 bits.
+        Chosen by the holder; the low 32 bits are unique within one boot of the holder.
     key_hash, body_hash
-        16 and 8 bytes.
+        Hashes of the key (16 bytes) and of the request body (8 bytes).
     issued
-        Unix time in seconds at which the caller made the key.
+        Unix time in seconds at which the caller created the key.
     holder
-        Instance and boot that run the request if the claim succeeds.
+        Instance and boot id of the process that runs the request if the claim succeeds.
     deadline
-        Monotonic time at which the claim is answered `UNAVAILABLE`.
+        Monotonic time after which the reply to the claim is `UNAVAILABLE`.
     """
 
     request_id: int
@@ -39,21 +39,25 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadSegments:
-    """Read all keys under `prefix`, then call `loaded` or `unavailable`."""
+    """Read all keys under `prefix`, then call `on_loaded` or `on_unavailable`."""
 
     prefix: str
 
 
 @dataclass(frozen=True, slots=True)
 class CommitSegment:
-    """Commit, then call `committed`, `conflicted`, `unknown` or `unavailable`."""
+    """Commit `transaction`, then report the result to the shard.
+
+    The result is reported by `on_committed`, `on_conflict`, `on_unknown_outcome` or
+    `on_unavailable`.
+    """
 
     transaction: Transaction
 
 
 @dataclass(frozen=True, slots=True)
-class Answer:
-    """Outcome of one claim; `holder` and `state` are those of the first claim."""
+class ReplyToClaim:
+    """Reply to a claim; `holder` and `state` are those of the first claim."""
 
     claim: ClaimRequest
     outcome: ClaimOutcome
@@ -61,4 +65,4 @@
     state: ClaimState = ClaimState.CLAIMED
 
 
-Action = LoadSegments | CommitSegment | Answer
+Action = LoadSegments | CommitSegment | ReplyToClaim
--- a/borageworks/claims/answers.py
+++ b/borageworks/claims/answers.py
@@ -9,53 +9,53 @@
 
 
 class HeldAnswers:
-    """Responses by key hash in bounded memory; the least recently used go first.
+    """Size-bounded LRU cache of responses by key hash.
 
     Parameters
     ----------
     limit_bytes
-        Bound of the retained responses together.
+        Maximum total size of the retained responses.
     """
 
     def __init__(self, limit_bytes: int) -> None:
-        self._limit = limit_bytes
+        self._limit_bytes = limit_bytes
         self._running: set[bytes] = set()
-        self._held: OrderedDict[bytes, RetainedAnswer] = OrderedDict()
-        self._bytes = 0
+        self._responses: OrderedDict[bytes, RetainedAnswer] = OrderedDict()
+        self._size_bytes = 0
 
     @property
-    def size(self) -> int:
-        """Bytes of all retained responses."""
-        return self._bytes
+    def size_bytes(self) -> int:
+        """Total size of the retained responses."""
+        return self._size_bytes
 
     def start(self, key_hash: bytes) -> None:
-        """Note that a claimed request waits or runs here."""
+        """Mark a claimed request as queued or running on this instance."""
         self._running.add(key_hash)
 
     def discard(self, key_hash: bytes) -> None:
-        """Forget a request that ended without a response."""
+        """Remove a request that ended without a response to retain."""
         self._running.discard(key_hash)
 
-    def hold(self, key_hash: bytes, answer: RetainedAnswer) -> None:
-        """Retain the response of a request; one over the bound is not retained."""
+    def hold(self, key_hash: bytes, response: RetainedAnswer) -> None:
+        """Retain the response of a request unless it alone exceeds the limit."""
         self._running.discard(key_hash)
-        previous = self._held.pop(key_hash, None)
+        previous = self._responses.pop(key_hash, None)
         if previous is not None:
-            self._bytes -= previous.size
-        if answer.size > self._limit:
+            self._size_bytes -= previous.size_bytes
+        if response.size_bytes > self._limit_bytes:
             return
-        self._held[key_hash] = answer
-        self._bytes += answer.size
-        while self._bytes > self._limit:
-            _, dropped = self._held.popitem(last=False)
-            self._bytes -= dropped.size
+        self._responses[key_hash] = response
+        self._size_bytes += response.size_bytes
+        while self._size_bytes > self._limit_bytes:
+            _, dropped = self._responses.popitem(last=False)
+            self._size_bytes -= dropped.size_bytes
 
     def find(self, key_hash: bytes) -> tuple[HeldAnswer, RetainedAnswer | None]:
-        """Return what is known of a request, and its response if it is retained."""
+        """Return the status of a request, and its response if it is retained."""
         if key_hash in self._running:
             return HeldAnswer.RUNNING, None
-        answer = self._held.get(key_hash)
-        if answer is None:
+        response = self._responses.get(key_hash)
+        if response is None:
             return HeldAnswer.GONE, None
-        self._held.move_to_end(key_hash)
-        return HeldAnswer.HELD, answer
+        self._responses.move_to_end(key_hash)
+        return HeldAnswer.HELD, response
--- a/borageworks/claims/holder.py
+++ b/borageworks/claims/holder.py
@@ -9,21 +9,22 @@
 
 @dataclass(frozen=True, slots=True)
 class Holder:
-    """An instance and one boot of it.
+    """An instance and one boot of it, that is, one run of its process.
 
-    A restarted instance is another holder: it knows nothing of the requests that ran
-    before. Instance ids have no `~`.
+    `boot_id` is drawn at each start of the process. A restarted instance is a different
+    holder, because it has no state of the requests that ran before the restart.
+    Instance ids do not contain `~`.
     """
 
     instance: str
-    boot: str
+    boot_id: str
 
     @classmethod
     def parse(cls, text: str) -> Holder:
-        """Read the form that `str` gives."""
-        instance, _, boot = text.partition(SEPARATOR)
-        return cls(instance, boot)
+        """Parse the format that `str` returns."""
+        instance, _, boot_id = text.partition(SEPARATOR)
+        return cls(instance, boot_id)
 
     def __str__(self) -> str:
-        """Return the form that messages and records carry."""
-        return f"{self.instance}{SEPARATOR}{self.boot}"
+        """Return the format used in messages and records."""
+        return f"{self.instance}{SEPARATOR}{self.boot_id}"
--- a/borageworks/claims/key.py
+++ b/borageworks/claims/key.py
@@ -13,14 +13,14 @@
     IdempotencyKeyMalformedError,
 )
 
-KEY_LENGTH_MAX = 255
+KEY_CHARACTERS_MAX = 255
 KEY_HASH_BYTES = 16
 BODY_HASH_BYTES = 8
-UUID_TIME_VERSION = 7
+UUID_VERSION = 7
 MILLISECONDS_PER_SECOND = 1000
-_VISIBLE = re.compile(r"[!-~]+")
+_VISIBLE_ASCII = re.compile(r"[!-~]+")
 _UUID = re.compile(r"[0-9A-Fa-f]{8}(-[0-9A-Fa-f]{4}){3}-[0-9A-Fa-f]{12}")
-_SECONDS = re.compile(r"([0-9]{1,12})-.+")
+_TIMESTAMPED = re.compile(r"([0-9]{1,12})-.+")
 
 
 @dataclass(frozen=True, slots=True)
@@ -30,9 +30,9 @@
     Parameters
     ----------
     text
-        The key; a UUID is in lower case.
+        The key; a UUID is normalised to lower case.
     issued
-        Unix time in seconds at which the caller made the key.
+        Unix time in seconds at which the caller created the key.
     """
 
     text: str
@@ -40,30 +40,30 @@
 
     @classmethod
     def parse(cls, text: str) -> IdempotencyKey:
-        """Read a UUID of version 7 or `<unix seconds>-<text>`.
+        """Parse a UUID of version 7 or `<unix seconds>-<text>`.
 
         Raises
         ------
         IdempotencyKeyMalformedError
-            The key has another form, is over 255 characters or has characters other
-            than visible ASCII.
+            The key has another format, is longer than 255 characters or contains
+            characters other than visible ASCII.
         """
-        if len(text) > KEY_LENGTH_MAX:
+        if len(text) > KEY_CHARACTERS_MAX:
             raise IdempotencyKeyMalformedError(
-                f"Idempotency-Key is over {KEY_LENGTH_MAX} characters"
+                f"Idempotency-Key is longer than {KEY_CHARACTERS_MAX} characters"
             )
-        if not _VISIBLE.fullmatch(text):
+        if not _VISIBLE_ASCII.fullmatch(text):
             raise IdempotencyKeyMalformedError(
-                "Idempotency-Key must be visible ASCII characters"
+                "Idempotency-Key must consist of visible ASCII characters"
             )
         if _UUID.fullmatch(text):
             value = UUID(text)
-            if value.version != UUID_TIME_VERSION:
+            if value.version != UUID_VERSION:
                 raise IdempotencyKeyMalformedError(
-                    "Idempotency-Key is a UUID of another version than 7"
+                    "Idempotency-Key is a UUID, but not of version 7"
                 )
             return cls(str(value), (value.int >> 80) / MILLISECONDS_PER_SECOND)
-        match = _SECONDS.fullmatch(text)
+        match = _TIMESTAMPED.fullmatch(text)
         if match is None:
             raise IdempotencyKeyMalformedError(
                 "Idempotency-Key is neither a UUID of version 7 nor "
@@ -71,36 +71,36 @@
             )
         return cls(text, float(match[1]))
 
-    def check(self, wall: float, settings: ClaimSettings) -> None:
-        """Refuse a key outside the claim window at Unix time `wall`.
+    def check_window(self, unix_time: float, settings: ClaimSettings) -> None:
+        """Raise an error if the key is outside the claim window at `unix_time`.
 
         Raises
         ------
         IdempotencyKeyExpiredError
-            The key is older than the window less the clock difference, or was issued
-            later than the clock difference from now.
+            The key is older than the window minus the clock difference, or was issued
+            further in the future than the clock difference.
         """
-        oldest = wall - settings.window_s + settings.clock_difference_s
+        oldest = unix_time - settings.window_s + settings.clock_difference_s
         if self.issued < oldest:
             raise IdempotencyKeyExpiredError(
-                f"Idempotency-Key was issued {wall - self.issued:.0f} s ago"
+                f"Idempotency-Key expired: issued {unix_time - self.issued:.0f} s ago"
             )
-        if self.issued > wall + settings.clock_difference_s:
+        if self.issued > unix_time + settings.clock_difference_s:
             raise IdempotencyKeyExpiredError(
-                f"Idempotency-Key was issued {self.issued - wall:.0f} s in the future"
+                f"Idempotency-Key issued {self.issued - unix_time:.0f} s in the future"
             )
 
     def hash(self, organisation: str) -> bytes:
-        """Return the identity of the key within the fleet.
+        """Return a hash that identifies the organisation and key in the fleet.
 
-        The hash is cryptographic, so no organisation can make a key that collides with
-        another organisation's.
+        The hash is cryptographic, so that no organisation can construct a key that
+        collides with a key of another organisation.
         """
-        # Organisation ids have no NUL, so the concatenation is unambiguous.
+        # Organisation ids do not contain NUL, so the concatenation is unambiguous.
         identity = f"{organisation}\0{self.text}".encode()
         return blake2b(identity, digest_size=KEY_HASH_BYTES).digest()
 
 
 def body_hash(body: bytes) -> bytes:
-    """Return the hash by which a key's reuse with another body is found."""
+    """Return the hash that detects reuse of a key with a different body."""
     return blake2b(body, digest_size=BODY_HASH_BYTES).digest()
--- a/borageworks/claims/flight.py
+++ b/borageworks/claims/pending_commit.py
@@ -1,4 +1,4 @@
-"""A commit of a claim shard whose result is awaited."""
+"""A commit of a claim shard whose result is pending."""
 
 from __future__ import annotations
 
@@ -12,24 +12,24 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Flight:
-    """Content of a commit.
+class PendingCommit:
+    """Contents of a pending commit.
 
     Parameters
     ----------
     claims
-        Claims to answer when it succeeds, by holder and request id.
+        Claims that succeed with the commit, by holder and request id.
     changes
-        State changes by key hash, with the instance that sent each.
+        State changes by key hash, each with the instance that sent it.
     records
-        Records as they are after it.
+        Records that the commit adds or changes.
     number, segment
-        Active segment after it.
+        Number and content of the active segment after the commit.
     sealed
-        The former active segment if the commit seals it, else the same content as
-        before the new records.
+        The previously active segment, sealed if the commit creates a new segment;
+        otherwise the active segment with changed but without new records.
     expired
-        Numbers of the segments that it deletes.
+        Numbers of the expired segments that the commit deletes.
     """
 
     claims: Mapping[tuple[str, int], ClaimRequest]
--- a/borageworks/claims/record.py
+++ b/borageworks/claims/record.py
@@ -9,17 +9,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimRecord:
-    """A claim as it is stored.
+    """Stored form of a claim.
 
     Parameters
     ----------
     key_hash
-        16 bytes, identity of (organisation, key).
+        Hash of organisation and key, 16 bytes.
     body_hash
-        8 bytes.
+        Hash of the request body, 8 bytes.
     holder
-        Instance and boot that claimed; see `Holder`.
-    request
+        Instance and boot id of the claiming process, as text; see `Holder`.
+    request_id_low
         Low 32 bits of the holder's request id.
     state
         State of the claimed request.
@@ -28,5 +28,5 @@
     key_hash: bytes
     body_hash: bytes
     holder: str
-    request: int
+    request_id_low: int
     state: ClaimState
--- a/borageworks/claims/retained.py
+++ b/borageworks/claims/retained.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass
 
 # Allowance for the dictionary entry, key hash and object headers.
-OVERHEAD_BYTES = 400
+RESPONSE_OVERHEAD_BYTES = 400
 
 
 @dataclass(frozen=True, slots=True)
@@ -17,6 +17,6 @@
     body: bytes
 
     @property
-    def size(self) -> int:
-        """Memory in bytes, approximately."""
-        return OVERHEAD_BYTES + len(self.content_type) + len(self.body)
+    def size_bytes(self) -> int:
+        """Approximate memory use."""
+        return RESPONSE_OVERHEAD_BYTES + len(self.content_type) + len(self.body)
--- a/borageworks/claims/segment.py
+++ b/borageworks/claims/segment.py
@@ -1,4 +1,4 @@
-"""Journal segment: the value of one store key, and its codec."""
+"""Journal segment, stored as the value of one store key, and its codec."""
 
 from __future__ import annotations
 
@@ -10,52 +10,53 @@
 from borageworks.exceptions import ClaimSegmentMalformedError
 from borageworks.wire.messages import ClaimState
 
-VERSION = 1
-# Version, sealed, creation time, time of the latest record, holders, records.
+FORMAT_VERSION = 1
+# Format version, sealed, created_at, latest_at, number of holders and of records.
 _HEADER = struct.Struct("<BBddHI")
-# Key hash, body hash, request, holder index (14 bits) and state (2 bits).
+# Key hash, body hash, low bits of the request id, holder index (14 bits) and state
+# (2 bits).
 _RECORD = struct.Struct("<16s8sIH")
 HEADER_BYTES = _HEADER.size
 RECORD_BYTES = _RECORD.size
 HOLDERS_MAX = 1 << 14
 HOLDER_BYTES_MAX = 255
-REQUEST_MASK = 0xFFFF_FFFF
+REQUEST_ID_MASK = 0xFFFF_FFFF
 
 
 @dataclass(frozen=True, slots=True)
 class Segment:
-    """Some claims of one shard.
+    """A group of claims of one shard that are stored together.
 
     Parameters
     ----------
-    created
-        Unix time in seconds of its creation.
-    latest
-        Largest of the Unix times at which its records were written or their keys
-        issued.
+    created_at
+        Unix time in seconds at which the segment was created.
+    latest_at
+        Latest Unix time in seconds at which a record was written or a key of a record
+        was issued.
     records
-        Claims by key hash, in the order of their arrival.
+        Claims by key hash, in order of arrival.
     sealed
-        Whether a later segment follows; a sealed segment is never written again.
+        Whether a newer segment exists; a sealed segment is never modified.
     """
 
-    created: float
-    latest: float
+    created_at: float
+    latest_at: float
     records: Mapping[bytes, ClaimRecord] = field(default_factory=dict)
     sealed: bool = False
 
     def with_records(
-        self, records: Mapping[bytes, ClaimRecord], latest: float
+        self, records: Mapping[bytes, ClaimRecord], latest_at: float
     ) -> Segment:
-        """Return the segment with records added or replaced."""
+        """Return a copy with records added or replaced."""
         return replace(
             self,
             records={**self.records, **records},
-            latest=max(self.latest, latest),
+            latest_at=max(self.latest_at, latest_at),
         )
 
     def encode(self) -> bytes:
-        """Return the stored form."""
+        """Return the encoded segment."""
         holders: dict[str, int] = {}
         body = bytearray()
         for record in self.records.values():
@@ -63,41 +64,41 @@
             body += _RECORD.pack(
                 record.key_hash,
                 record.body_hash,
-                record.request & REQUEST_MASK,
+                record.request_id_low & REQUEST_ID_MASK,
                 index << 2 | record.state,
             )
-        head = bytearray(
+        header = bytearray(
             _HEADER.pack(
-                VERSION,
+                FORMAT_VERSION,
                 self.sealed,
-                self.created,
-                self.latest,
+                self.created_at,
+                self.latest_at,
                 len(holders),
                 len(self.records),
             )
         )
         for holder in holders:
             name = holder.encode()
-            head.append(len(name))
-            head += name
-        return bytes(head + body)
+            header.append(len(name))
+            header += name
+        return bytes(header + body)
 
     @classmethod
     def decode(cls, data: bytes) -> Segment:
-        """Read the stored form.
+        """Decode a segment.
 
         Raises
         ------
         ClaimSegmentMalformedError
-            The data is cut, has surplus bytes or another version.
+            The data is truncated, has surplus bytes or an unsupported version.
         """
         try:
-            version, sealed, created, latest, holder_count, count = _HEADER.unpack_from(
-                data
+            version, sealed, created_at, latest_at, holder_count, record_count = (
+                _HEADER.unpack_from(data)
             )
-            if version != VERSION:
+            if version != FORMAT_VERSION:
                 raise ClaimSegmentMalformedError(
-                    f"claim segment has version {version}, expected {VERSION}"
+                    f"claim segment has version {version}, expected {FORMAT_VERSION}"
                 )
             offset = HEADER_BYTES
             holders: list[str] = []
@@ -105,21 +106,34 @@
                 end = offset + 1 + data[offset]
                 holders.append(data[offset + 1 : end].decode())
                 offset = end
-            if len(data) - offset != count * RECORD_BYTES:
-                raise ClaimSegmentMalformedError("claim segment has a wrong length")
+            if len(data) - offset != record_count * RECORD_BYTES:
+                raise ClaimSegmentMalformedError(
+                    "length of claim segment does not match its record count"
+                )
             records = {}
-            for key, body, request, tail in _RECORD.iter_unpack(data[offset:]):
-                records[key] = ClaimRecord(
-                    key, body, holders[tail >> 2], request, ClaimState(tail & 3)
+            for (
+                key_hash,
+                body_hash,
+                request_id_low,
+                holder_and_state,
+            ) in _RECORD.iter_unpack(data[offset:]):
+                records[key_hash] = ClaimRecord(
+                    key_hash,
+                    body_hash,
+                    holders[holder_and_state >> 2],
+                    request_id_low,
+                    ClaimState(holder_and_state & 3),
                 )
         except (struct.error, IndexError, UnicodeDecodeError) as error:
-            raise ClaimSegmentMalformedError("claim segment is cut") from error
-        return cls(created, latest, records, bool(sealed))
+            raise ClaimSegmentMalformedError(
+                "claim segment is truncated or malformed"
+            ) from error
+        return cls(created_at, latest_at, records, bool(sealed))
 
-    def size_with(self, records: Mapping[bytes, ClaimRecord]) -> int:
-        """Return an upper bound of the encoded bytes with `records` added."""
+    def encoded_size_with(self, records: Mapping[bytes, ClaimRecord]) -> int:
+        """Return an upper bound of the encoded size in bytes with `records` added."""
         holders = {record.holder for record in self.records.values()}
         holders.update(record.holder for record in records.values())
-        names = sum(1 + len(holder.encode()) for holder in holders)
+        holder_bytes = sum(1 + len(holder.encode()) for holder in holders)
         count = len(self.records) + len(records)
-        return HEADER_BYTES + names + count * RECORD_BYTES
+        return HEADER_BYTES + holder_bytes + count * RECORD_BYTES
--- a/borageworks/claims/service.py
+++ b/borageworks/claims/service.py
@@ -1,4 +1,4 @@
-"""Claim service of one instance: claims for its requests, writer of its shards."""
+"""Claim service of an instance: claims its requests and writes its shards."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 from borageworks.claims.actions import (
     Action,
-    Answer,
     ClaimRequest,
     CommitSegment,
     LoadSegments,
+    ReplyToClaim,
 )
 from borageworks.claims.content import ShardContent
 from borageworks.claims.holder import Holder
 from borageworks.claims.key import BODY_HASH_BYTES, KEY_HASH_BYTES, IdempotencyKey
-from borageworks.claims.moment import Moment
 from borageworks.claims.segment import HOLDER_BYTES_MAX
 from borageworks.claims.shard import ClaimShard
-from borageworks.claims.writer import shard_of, shard_writer
+from borageworks.claims.sharding import shard_of, shard_writer
+from borageworks.claims.timestamp import Timestamp
 from borageworks.config.settings import Settings
 from borageworks.events import Event, emit
 from borageworks.exceptions import (
@@ -46,32 +46,33 @@
     Message,
 )
 
-BOOT_BYTES = 4
-REQUEST_BOOT_BITS = 31
-REQUEST_COUNT_BITS = 32
-# A claim is sent again to the writer of the moment, since a writer may have changed
-# or a link may have broken; a repeated claim is recognised by its request id.
+BOOT_ID_BYTES = 4
+REQUEST_ID_BOOT_BITS = 31
+REQUEST_ID_COUNTER_BITS = 32
+# A claim without a reply is resent to the current writer, since the writer may have
+# changed or a message may have been lost; repeated claims are recognised by request id.
 RESEND_INTERVAL_S = 0.5
-# A commit whose reply is lost takes one store timeout, reading it back another.
+# If the reply to a commit is lost, the commit takes one store timeout and reading the
+# segments back takes another.
 STORE_TIMEOUTS_PER_CLAIM = 2
-SWEEP_INTERVAL_S = 10.0
-ABANDONED_MAX = 10_000
+SHARD_CLEANUP_INTERVAL_S = 10.0
+ABANDONED_CLAIMS_MAX = 10_000
 
 
 class ClaimService:
-    """Claims non-idempotent requests and writes the shards placed on this instance.
+    """Claims non-idempotent requests and writes the shards assigned to this instance.
 
     Parameters
     ----------
     settings
         Settings of this instance.
     store, timers, metrics
-        Store with the journal, timers and counters of the process.
+        Store that contains the journal; timers and metrics of the process.
     send
-        Sends a message to an instance; a message may be lost.
+        Sends a message to an instance; delivery is not guaranteed.
     members
         Returns the ids of the live instances.
-    wall
+    unix_time
         Returns Unix time in seconds.
     """
 
@@ -84,7 +85,7 @@
         send: Callable[[str, Message], None],
         members: Callable[[], Sequence[str]],
         *,
-        wall: Callable[[], float] = time.time,
+        unix_time: Callable[[], float] = time.time,
     ) -> None:
         self._settings = settings.claims
         self._store = store
@@ -92,28 +93,33 @@
         self._metrics = metrics
         self._send = send
         self._members = members
-        self._wall = wall
-        self._holder = Holder(settings.instance, secrets.token_hex(BOOT_BYTES))
-        self._timeout = STORE_TIMEOUTS_PER_CLAIM * settings.store.timeout_s
-        # The upper half tells replies to a former boot apart; records keep the lower.
-        self._requests = secrets.randbits(REQUEST_BOOT_BITS) << REQUEST_COUNT_BITS
-        self._waiting: dict[int, asyncio.Future[ClaimReply]] = {}
+        self._unix_time = unix_time
+        self._holder = Holder(settings.instance, secrets.token_hex(BOOT_ID_BYTES))
+        self._timeout_s = STORE_TIMEOUTS_PER_CLAIM * settings.store.timeout_s
+        # The random upper half distinguishes replies to an earlier boot; records store
+        # only the lower half.
+        self._last_request_id = (
+            secrets.randbits(REQUEST_ID_BOOT_BITS) << REQUEST_ID_COUNTER_BITS
+        )
+        self._pending_replies: dict[int, asyncio.Future[ClaimReply]] = {}
         self._abandoned: OrderedDict[int, Claim] = OrderedDict()
         self._shards: dict[int, ClaimShard] = {}
-        self._wakes: dict[int, tuple[float, Subscription]] = {}
+        self._tick_timers: dict[int, tuple[float, Subscription]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
-        self._sweeping = timers.every(SWEEP_INTERVAL_S, self._sweep)
+        self._cleanup_timer = timers.every(
+            SHARD_CLEANUP_INTERVAL_S, self._drop_unowned_shards
+        )
 
     @property
     def holder(self) -> Holder:
-        """Identity under which this process claims."""
+        """Identity of this process as the holder of its claims."""
         return self._holder
 
     async def close(self) -> None:
-        """Stop; commits in flight end with an unknown outcome."""
-        self._sweeping.cancel()
-        for _, wake in self._wakes.values():
-            wake.cancel()
+        """Stop the service; the outcome of pending commits is unknown."""
+        self._cleanup_timer.cancel()
+        for _, timer in self._tick_timers.values():
+            timer.cancel()
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
@@ -122,22 +128,23 @@
     async def claim(
         self, organisation: str, key: IdempotencyKey, body_hash: bytes
     ) -> ClaimReply:
-        """Claim a request; only after `CLAIMED` may it run, and only once.
+        """Claim a request, which may run only after `CLAIMED` and only once.
 
-        A cancelled call counts as one that was not claimed.
+        If the call is cancelled, the request must not run; a claim that is recorded
+        nevertheless is released.
 
         Returns
         -------
         ClaimReply
-            `DUPLICATE` and `BODY_MISMATCH` carry the first claim's holder and state;
-            see `instance_of`. `EXPIRED` and `UNAVAILABLE` mean that the request did not
-            run and must not run now.
+            `DUPLICATE` and `BODY_MISMATCH` contain the holder and state of the first
+            claim; see `instance_of`. After `EXPIRED` and `UNAVAILABLE`, this request
+            has not run and must not run.
         """
-        self._requests += 1
-        request_id = self._requests
+        self._last_request_id += 1
+        request_id = self._last_request_id
         key_hash = key.hash(organisation)
         try:
-            key.check(self._wall(), self._settings)
+            key.check_window(self._unix_time(), self._settings)
         except IdempotencyKeyExpiredError:
             reply = ClaimReply(request_id, ClaimOutcome.EXPIRED)
         else:
@@ -149,33 +156,37 @@
                 key.issued,
                 str(self._holder),
             )
-            reply = await self._settle(key_hash, await self._ask(claim))
+            reply = await self._release_if_abandoned(
+                key_hash, await self._send_claim(claim)
+            )
         self._metrics.count("claims", reply.outcome.name.lower())
         return reply
 
     def finish(self, organisation: str, key: IdempotencyKey, state: ClaimState) -> None:
         """Record the final state of a request that this process claimed.
 
-        The record may be lost; the claim then stays `CLAIMED`, and its holder is asked.
+        The message may be lost. The claim then remains `CLAIMED`, and its holder is
+        queried for the outcome.
         """
-        self._finish(key.hash(organisation), state)
+        self._send_finish(key.hash(organisation), state)
 
     async def release(self, organisation: str, key: IdempotencyKey) -> None:
-        """Record that a claimed request certainly never started and never will.
+        """Record that a claimed request did not start and never will.
 
-        The key stays taken: a resend is told that the request did not run.
+        The key cannot be claimed again; the reply to a resend states that the request
+        did not run.
         """
-        self._finish(key.hash(organisation), ClaimState.RELEASED)
+        self._send_finish(key.hash(organisation), ClaimState.RELEASED)
 
     def instance_of(self, reply: ClaimReply) -> str | None:
-        """Return the live instance that may know the answer of a first claim.
+        """Return the live instance that may have the response to the first request.
 
         Returns
         -------
         str or None
-            None if the holder is not alive: a claim in state `CLAIMED` is then to be
-            answered as `UNKNOWN`. A holder that restarted is found out by asking it,
-            since it holds no answer.
+            None if the holder is not alive; the outcome of a claim in state `CLAIMED`
+            is then unknown. A restart of another instance is not detected here, but
+            that instance has no response when queried.
         """
         holder = Holder.parse(reply.holder)
         if holder.instance == self._holder.instance:
@@ -183,12 +194,12 @@
         return holder.instance if holder.instance in self._members() else None
 
     def receive(self, sender: str, message: Claim | ClaimReply | ClaimFinish) -> None:
-        """Handle a message of the instance `sender`.
+        """Handle a message from the instance `sender`.
 
         Raises
         ------
         MessageMalformedError
-            A field has a wrong size or range.
+            A field has an invalid size or value.
         """
         match message:
             case ClaimReply():
@@ -196,22 +207,24 @@
             case Claim():
                 self._receive_claim(sender, message)
             case ClaimFinish():
-                self._check(message.shard, message.key_hash)
+                self._check_shard(message.shard, message.key_hash)
                 shard = self._shard(message.shard)
                 actions = shard.finish(
-                    self._moment(), sender, message.key_hash, message.state
+                    self._timestamp(), sender, message.key_hash, message.state
                 )
                 self._execute(message.shard, actions)
 
-    async def _ask(self, claim: Claim) -> ClaimReply:
+    async def _send_claim(self, claim: Claim) -> ClaimReply:
         future: asyncio.Future[ClaimReply] = asyncio.get_running_loop().create_future()
         request_id = claim.request_id
-        self._waiting[request_id] = future
-        deadline = self._timers.now() + self._timeout
+        self._pending_replies[request_id] = future
+        deadline = self._timers.now() + self._timeout_s
         try:
-            while (left := deadline - self._timers.now()) > 0:
-                self._deliver(claim.shard, claim)
-                await asyncio.wait((future,), timeout=min(left, RESEND_INTERVAL_S))
+            while (remaining_s := deadline - self._timers.now()) > 0:
+                self._send_to_writer(claim.shard, claim)
+                await asyncio.wait(
+                    (future,), timeout=min(remaining_s, RESEND_INTERVAL_S)
+                )
                 if future.done():
                     reply = future.result()
                     if reply.outcome is ClaimOutcome.UNAVAILABLE:
@@ -225,94 +238,98 @@
                 self._receive_reply(future.result())
             raise
         finally:
-            del self._waiting[request_id]
+            del self._pending_replies[request_id]
 
-    async def _settle(self, key_hash: bytes, reply: ClaimReply) -> ClaimReply:
-        """Release a claim of this process that was refused and recorded later.
+    async def _release_if_abandoned(
+        self, key_hash: bytes, reply: ClaimReply
+    ) -> ClaimReply:
+        """Release a claim that this process abandoned and that was recorded later.
 
-        Sending the refused claim again tells whether the record is its own.
+        Resending an abandoned claim shows whether the record belongs to it.
         """
-        own = reply.holder == str(self._holder)
-        if not own or reply.state is not ClaimState.CLAIMED:
+        is_own = reply.holder == str(self._holder)
+        if not is_own or reply.state is not ClaimState.CLAIMED:
             return reply
         if reply.outcome is not ClaimOutcome.DUPLICATE:
             return reply
-        refused = [c for c in self._abandoned.values() if c.key_hash == key_hash]
-        for claim in refused:
-            if claim.request_id in self._waiting:
+        abandoned = [c for c in self._abandoned.values() if c.key_hash == key_hash]
+        for claim in abandoned:
+            if claim.request_id in self._pending_replies:
                 continue
-            again = await self._ask(claim)
-            if again.outcome is ClaimOutcome.CLAIMED:
-                self._release_late(claim)
+            repeated = await self._send_claim(claim)
+            if repeated.outcome is ClaimOutcome.CLAIMED:
+                self._release_abandoned(claim)
                 return replace(reply, state=ClaimState.RELEASED)
         return reply
 
-    def _release_late(self, claim: Claim) -> None:
+    def _release_abandoned(self, claim: Claim) -> None:
         self._abandoned.pop(claim.request_id, None)
         self._metrics.count("claims_late")
-        self._finish(claim.key_hash, ClaimState.RELEASED)
+        self._send_finish(claim.key_hash, ClaimState.RELEASED)
 
     def _abandon(self, claim: Claim) -> None:
-        """Remember a claim that was refused and may be recorded nevertheless."""
+        """Keep a claim that failed but may still be recorded, so it can be released."""
         self._abandoned[claim.request_id] = claim
-        if len(self._abandoned) > ABANDONED_MAX:
+        if len(self._abandoned) > ABANDONED_CLAIMS_MAX:
             self._abandoned.popitem(last=False)
 
-    def _finish(self, key_hash: bytes, state: ClaimState) -> None:
+    def _send_finish(self, key_hash: bytes, state: ClaimState) -> None:
         shard = shard_of(key_hash, self._settings.shards)
-        self._deliver(shard, ClaimFinish(shard, key_hash, state))
+        self._send_to_writer(shard, ClaimFinish(shard, key_hash, state))
 
-    def _deliver(self, shard: int, message: Claim | ClaimFinish) -> None:
-        own = self._holder.instance
-        writer = shard_writer(shard, {own, *self._members()})
-        if writer == own:
-            self.receive(own, message)
+    def _send_to_writer(self, shard: int, message: Claim | ClaimFinish) -> None:
+        own_instance = self._holder.instance
+        writer = shard_writer(shard, {own_instance, *self._members()})
+        if writer == own_instance:
+            self.receive(own_instance, message)
         else:
             self._send(writer, message)
 
     def _receive_reply(self, reply: ClaimReply) -> None:
-        future = self._waiting.get(reply.request_id)
+        future = self._pending_replies.get(reply.request_id)
         if future is not None and not future.done():
             future.set_result(reply)
             return
         if reply.outcome is ClaimOutcome.CLAIMED:
-            refused = self._abandoned.get(reply.request_id)
-            if refused is not None:
-                self._release_late(refused)
+            abandoned = self._abandoned.get(reply.request_id)
+            if abandoned is not None:
+                self._release_abandoned(abandoned)
 
     def _receive_claim(self, sender: str, claim: Claim) -> None:
-        self._check(claim.shard, claim.key_hash)
+        self._check_shard(claim.shard, claim.key_hash)
         if len(claim.body_hash) != BODY_HASH_BYTES:
             raise MessageMalformedError(
-                f"body hash of a claim has {len(claim.body_hash)} bytes"
+                f"claim has a body hash of invalid length: {len(claim.body_hash)} bytes"
             )
         if Holder.parse(claim.holder).instance != sender:
             raise MessageMalformedError(
-                f"claim of holder {claim.holder!r} was sent by {sender!r}"
+                f"claim names holder {claim.holder!r} but was sent by {sender!r}"
             )
         if len(claim.holder.encode()) > HOLDER_BYTES_MAX:
-            raise MessageMalformedError("holder of a claim is too long")
-        moment = self._moment()
+            raise MessageMalformedError("holder id of a claim is too long")
+        timestamp = self._timestamp()
         request = ClaimRequest(
             claim.request_id,
             claim.key_hash,
             claim.body_hash,
             claim.issued,
             claim.holder,
-            moment.now + self._timeout,
+            timestamp.monotonic + self._timeout_s,
         )
-        actions = self._shard(claim.shard).request(moment, request)
+        actions = self._shard(claim.shard).submit(timestamp, request)
         self._execute(claim.shard, actions)
 
-    def _check(self, shard: int, key_hash: bytes) -> None:
+    def _check_shard(self, shard: int, key_hash: bytes) -> None:
         if len(key_hash) != KEY_HASH_BYTES:
-            raise MessageMalformedError(f"key hash has {len(key_hash)} bytes")
+            raise MessageMalformedError(
+                f"key hash has invalid length: {len(key_hash)} bytes"
+            )
         if shard != shard_of(key_hash, self._settings.shards):
-            # Instances with different shard counts would claim a key twice.
-            raise MessageMalformedError(f"shard {shard} does not hold the key hash")
+            # Instances with different shard counts could claim the same key twice.
+            raise MessageMalformedError(f"key hash does not belong to shard {shard}")
 
-    def _moment(self) -> Moment:
-        return Moment(self._timers.now(), self._wall())
+    def _timestamp(self) -> Timestamp:
+        return Timestamp(self._timers.now(), self._unix_time())
 
     def _shard(self, number: int) -> ClaimShard:
         shard = self._shards.get(number)
@@ -323,37 +340,38 @@
     def _execute(self, number: int, actions: list[Action]) -> None:
         for action in actions:
             match action:
-                case Answer():
-                    self._answer(action)
+                case ReplyToClaim():
+                    self._send_reply(action)
                 case LoadSegments():
-                    self._start(number, self._load(number, action))
+                    self._start_task(number, self._load(number, action))
                 case CommitSegment():
-                    self._start(number, self._commit(number, action.transaction))
-        self._wake(number)
+                    self._start_task(number, self._commit(number, action.transaction))
+        self._schedule_tick(number)
 
-    def _answer(self, answer: Answer) -> None:
+    def _send_reply(self, action: ReplyToClaim) -> None:
         reply = ClaimReply(
-            answer.claim.request_id, answer.outcome, answer.holder, answer.state
+            action.claim.request_id, action.outcome, action.holder, action.state
         )
-        instance = Holder.parse(answer.claim.holder).instance
+        instance = Holder.parse(action.claim.holder).instance
         if instance == self._holder.instance:
-            # A reply to a former boot of this instance must not meet a request of
-            # this one.
-            if answer.claim.holder == str(self._holder):
+            # A reply to an earlier boot of this instance must not resolve a request of
+            # the current one.
+            if action.claim.holder == str(self._holder):
                 self._receive_reply(reply)
         else:
             self._send(instance, reply)
 
-    def _start(self, number: int, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.get_running_loop().create_task(work)
+    def _start_task(self, number: int, coroutine: Coroutine[Any, Any, None]) -> None:
+        task = asyncio.get_running_loop().create_task(coroutine)
         self._tasks.add(task)
-        task.add_done_callback(partial(self._ended, number))
+        task.add_done_callback(partial(self._handle_task_end, number))
 
-    def _ended(self, number: int, task: asyncio.Task[None]) -> None:
+    def _handle_task_end(self, number: int, task: asyncio.Task[None]) -> None:
         self._tasks.discard(task)
         if not task.cancelled() and (error := task.exception()) is not None:
             emit(Event.TASK_FAILED, shard=number, reason=repr(error))
-            # A shard without its task would wait forever; a new one loads first.
+            # Without its task the shard would wait forever; its replacement starts by
+            # loading the segments.
             self._shards.pop(number, None)
 
     async def _load(self, number: int, action: LoadSegments) -> None:
@@ -363,14 +381,14 @@
             content = ShardContent()
             for _ in content.decode(action.prefix, result.values):
                 await asyncio.sleep(0)
-            actions = shard.loaded(self._moment(), content)
+            actions = shard.on_loaded(self._timestamp(), content)
         except BorageworksError as error:
-            # The shard is not used while a segment cannot be read.
-            self._failed(number, error)
-            actions = shard.unavailable(self._moment())
+            # The shard remains unavailable while a segment cannot be read.
+            self._record_store_failure(number, error)
+            actions = shard.on_unavailable(self._timestamp())
         else:
             self._metrics.count("claim_loads")
-            emit(Event.CLAIM_SHARD_LOADED, shard=number, records=shard.records)
+            emit(Event.CLAIM_SHARD_LOADED, shard=number, records=shard.record_count)
         self._execute(number, actions)
 
     async def _commit(self, number: int, transaction: Transaction) -> None:
@@ -379,21 +397,21 @@
         try:
             result = await self._store.commit(transaction)
         except StoreUnavailableError as error:
-            self._failed(number, error)
-            actions = shard.unavailable(self._moment())
+            self._record_store_failure(number, error)
+            actions = shard.on_unavailable(self._timestamp())
         except BorageworksError as error:
-            self._failed(number, error)
-            actions = shard.unknown(self._moment())
+            self._record_store_failure(number, error)
+            actions = shard.on_unknown_outcome(self._timestamp())
         else:
             if result.succeeded:
-                actions = shard.committed(self._moment(), result.revision)
+                actions = shard.on_committed(self._timestamp(), result.revision)
             else:
                 self._metrics.count("claim_conflicts")
                 emit(Event.CLAIM_CONFLICT, shard=number)
-                actions = shard.conflicted(self._moment())
+                actions = shard.on_conflict(self._timestamp())
         self._execute(number, actions)
 
-    def _failed(self, number: int, error: BorageworksError) -> None:
+    def _record_store_failure(self, number: int, error: BorageworksError) -> None:
         self._metrics.count("claim_failures", error.code)
         if not isinstance(error, StoreUnavailableError):
             emit(
@@ -403,32 +421,35 @@
                 reason=str(error),
             )
 
-    def _wake(self, number: int) -> None:
-        due = self._shards[number].due
-        planned = self._wakes.get(number)
-        if planned is not None:
-            if due is not None and planned[0] <= due:
+    def _schedule_tick(self, number: int) -> None:
+        tick_time = self._shards[number].next_tick_time
+        scheduled = self._tick_timers.get(number)
+        if scheduled is not None:
+            if tick_time is not None and scheduled[0] <= tick_time:
                 return
-            planned[1].cancel()
-            del self._wakes[number]
-        if due is not None:
-            delay = max(0.0, due - self._timers.now())
+            scheduled[1].cancel()
+            del self._tick_timers[number]
+        if tick_time is not None:
+            delay_s = max(0.0, tick_time - self._timers.now())
 
-            def wake(_now: float) -> None:
-                del self._wakes[number]
+            def run_tick(_now: float) -> None:
+                del self._tick_timers[number]
                 if number in self._shards:
-                    actions = self._shards[number].tick(self._moment())
+                    actions = self._shards[number].tick(self._timestamp())
                     self._execute(number, actions)
 
-            self._wakes[number] = (due, self._timers.after(delay, wake))
+            self._tick_timers[number] = (
+                tick_time,
+                self._timers.after(delay_s, run_tick),
+            )
 
-    def _sweep(self, _now: float) -> None:
-        """Drop shards that another instance writes now."""
-        own = self._holder.instance
-        members = {own, *self._members()}
+    def _drop_unowned_shards(self, _now: float) -> None:
+        """Drop idle shards that are now written by another instance."""
+        own_instance = self._holder.instance
+        members = {own_instance, *self._members()}
         for number, shard in list(self._shards.items()):
-            if shard.idle and shard_writer(number, members) != own:
-                planned = self._wakes.pop(number, None)
-                if planned is not None:
-                    planned[1].cancel()
+            if shard.idle and shard_writer(number, members) != own_instance:
+                scheduled = self._tick_timers.pop(number, None)
+                if scheduled is not None:
+                    scheduled[1].cancel()
                 del self._shards[number]
--- a/borageworks/claims/shard.py
+++ b/borageworks/claims/shard.py
@@ -1,4 +1,4 @@
-"""State machine of one claim shard at one of its possible writers."""
+"""State machine of a claim shard on an instance that may write it."""
 
 from __future__ import annotations
 
@@ -8,29 +8,29 @@
 
 from borageworks.claims.actions import (
     Action,
-    Answer,
     ClaimRequest,
     CommitSegment,
     LoadSegments,
+    ReplyToClaim,
 )
-from borageworks.claims.content import ShardContent, remember
-from borageworks.claims.flight import Flight
+from borageworks.claims.content import ShardContent, merge_record
 from borageworks.claims.holder import Holder
-from borageworks.claims.moment import Moment
+from borageworks.claims.pending_commit import PendingCommit
 from borageworks.claims.record import ClaimRecord
-from borageworks.claims.segment import RECORD_BYTES, REQUEST_MASK, Segment
+from borageworks.claims.segment import RECORD_BYTES, REQUEST_ID_MASK, Segment
+from borageworks.claims.timestamp import Timestamp
 from borageworks.config.settings import ClaimSettings
 from borageworks.store.values import Transaction
 from borageworks.wire.messages import ClaimOutcome, ClaimState
 
-# A state change alone waits this long for a claim to share its commit with.
+# Time that a state change waits for a claim with which it can share a commit.
 FINISH_DELAY_S = 1.0
-# While the store fails, claims are answered at once for this long after a failure, so
-# the store gets at most two calls a second from each shard.
-RETRY_DELAY_S = 0.5
-CHANGES_MAX = 4096
+# For this long after a store failure, claims get an immediate reply without a store
+# call, so that each shard makes at most two calls per second to a failing store.
+STORE_RETRY_DELAY_S = 0.5
+PENDING_CHANGES_MAX = 4096
 # The store allows 128 operations in one transaction.
-EXPIRED_PER_COMMIT = 64
+EXPIRED_SEGMENTS_PER_COMMIT = 64
 
 
 class _Phase(Enum):
@@ -41,22 +41,22 @@
 
 
 class ClaimShard:
-    """Group commit of the claims of one shard into journal segments.
+    """Commits the claims of one shard to journal segments in groups.
 
     Any instance may act as the writer at any time; a commit succeeds only if the
-    active segment is still the one that this writer has loaded. `head` names the
-    active segment and is never deleted, so a writer that saw an empty shard and was
-    paused cannot create its first segment again.
+    active segment has not changed since this writer loaded it. The `head` key contains
+    the number of the active segment and is never deleted, so that a writer that loaded
+    an empty shard and was then paused cannot create the first segment again.
 
-    A record is never removed on its own. A state other than `CLAIMED` is final, so a
-    released key cannot be claimed again within the window.
+    Records are removed only with their whole segment. States other than `CLAIMED` are
+    final, so that a released key cannot be claimed again within the claim window.
 
     Parameters
     ----------
     number
         Shard number.
     settings
-        Claim settings, the same on all instances.
+        Claim settings; they must be the same on all instances.
     """
 
     def __init__(self, number: int, settings: ClaimSettings) -> None:
@@ -69,71 +69,73 @@
         self._active = Segment(0.0, 0.0)
         self._sealed: dict[int, tuple[float, tuple[bytes, ...]]] = {}
         self._index: dict[bytes, ClaimRecord] = {}
-        self._waiting: dict[tuple[str, int], ClaimRequest] = {}
-        self._changes: dict[bytes, tuple[str, ClaimState]] = {}
-        self._changes_since = 0.0
-        self._flight: Flight | None = None
-        self._next_commit = float("-inf")
-        self._failing_until = float("-inf")
+        self._waiting_claims: dict[tuple[str, int], ClaimRequest] = {}
+        self._pending_changes: dict[bytes, tuple[str, ClaimState]] = {}
+        self._first_change_time = 0.0
+        self._pending_commit: PendingCommit | None = None
+        self._next_commit_time = float("-inf")
+        self._store_backoff_until = float("-inf")
 
     @property
     def idle(self) -> bool:
-        """Whether nothing waits, so that the shard may be dropped."""
-        busy = self._phase in {_Phase.LOADING, _Phase.COMMITTING}
-        return not (busy or self._waiting or self._changes)
+        """Whether no work is pending, so that the shard may be dropped."""
+        awaits_store = self._phase in {_Phase.LOADING, _Phase.COMMITTING}
+        return not (awaits_store or self._waiting_claims or self._pending_changes)
 
     @property
-    def due(self) -> float | None:
-        """Monotonic time at which `tick` has something to do, None if never."""
+    def next_tick_time(self) -> float | None:
+        """Monotonic time at which to call `tick`, or None if no work is scheduled."""
         if self._phase in {_Phase.LOADING, _Phase.COMMITTING}:
             return None
-        if self._waiting:
-            return self._next_commit
-        if self._changes:
+        if self._waiting_claims:
+            return self._next_commit_time
+        if self._pending_changes:
             return max(
-                self._changes_since + FINISH_DELAY_S,
-                self._next_commit,
-                self._failing_until,
+                self._first_change_time + FINISH_DELAY_S,
+                self._next_commit_time,
+                self._store_backoff_until,
             )
         return None
 
     @property
-    def records(self) -> int:
-        """Number of claims in memory."""
+    def record_count(self) -> int:
+        """Number of claims in the index."""
         return len(self._index)
 
-    def request(self, moment: Moment, claim: ClaimRequest) -> list[Action]:
-        """Record a claim; repeating it is harmless."""
+    def submit(self, timestamp: Timestamp, claim: ClaimRequest) -> list[Action]:
+        """Queue a claim or reply to it; a repeated call is idempotent."""
         identity = (claim.holder, claim.request_id)
-        in_flight = self._flight is not None and identity in self._flight.claims
-        if identity in self._waiting or in_flight:
+        is_committing = (
+            self._pending_commit is not None and identity in self._pending_commit.claims
+        )
+        if identity in self._waiting_claims or is_committing:
             return []
-        if moment.now < self._failing_until:
-            # A loaded record stays true during an outage of the store.
-            loaded = self._phase is _Phase.READY
-            known = self._known(moment, claim) if loaded else None
-            return [known or Answer(claim, ClaimOutcome.UNAVAILABLE)]
-        self._waiting[identity] = claim
-        return self._advance(moment)
+        if timestamp.monotonic < self._store_backoff_until:
+            # Loaded records remain valid while the store is unavailable.
+            is_loaded = self._phase is _Phase.READY
+            reply = self._reply_from_index(timestamp, claim) if is_loaded else None
+            return [reply or ReplyToClaim(claim, ClaimOutcome.UNAVAILABLE)]
+        self._waiting_claims[identity] = claim
+        return self._advance(timestamp)
 
     def finish(
-        self, moment: Moment, sender: str, key_hash: bytes, state: ClaimState
+        self, timestamp: Timestamp, sender: str, key_hash: bytes, state: ClaimState
     ) -> list[Action]:
-        """Set the final state of a claim whose holder is an instance `sender`."""
-        if not self._changes:
-            self._changes_since = moment.now
-        self._changes.setdefault(key_hash, (sender, state))
-        while len(self._changes) > CHANGES_MAX:
-            # The record stays CLAIMED, which is answered as unknown at worst.
-            del self._changes[next(iter(self._changes))]
-        return self._advance(moment)
-
-    def tick(self, moment: Moment) -> list[Action]:
-        """Continue with what `due` announced."""
-        return self._advance(moment)
-
-    def loaded(self, moment: Moment, content: ShardContent) -> list[Action]:
-        """Take the stored content of the shard, and own it from then on."""
+        """Set the final state of a claim that is held by the instance `sender`."""
+        if not self._pending_changes:
+            self._first_change_time = timestamp.monotonic
+        self._pending_changes.setdefault(key_hash, (sender, state))
+        while len(self._pending_changes) > PENDING_CHANGES_MAX:
+            # The record stays CLAIMED; at worst its outcome is reported as unknown.
+            del self._pending_changes[next(iter(self._pending_changes))]
+        return self._advance(timestamp)
+
+    def tick(self, timestamp: Timestamp) -> list[Action]:
+        """Process the work scheduled for `next_tick_time`."""
+        return self._advance(timestamp)
+
+    def on_loaded(self, timestamp: Timestamp, content: ShardContent) -> list[Action]:
+        """Adopt the loaded content; the caller must not use `content` afterwards."""
         self._sealed = content.sealed
         self._index = content.index
         self._head_revision = content.head_revision
@@ -141,200 +143,211 @@
         self._active_revision = content.active_revision
         self._active = content.active
         self._phase = _Phase.READY
-        self._failing_until = float("-inf")
-        return self._advance(moment)
+        self._store_backoff_until = float("-inf")
+        return self._advance(timestamp)
 
-    def committed(self, moment: Moment, revision: int) -> list[Action]:
-        """Take the success of the commit in flight."""
-        flight = self._land()
-        if flight.number != self._active_number:
+    def on_committed(self, timestamp: Timestamp, revision: int) -> list[Action]:
+        """Apply the pending commit, which succeeded at `revision`."""
+        pending = self._take_pending_commit()
+        if pending.number != self._active_number:
             if self._active_number:
                 self._sealed[self._active_number] = (
-                    flight.sealed.latest,
-                    tuple(flight.sealed.records),
+                    pending.sealed.latest_at,
+                    tuple(pending.sealed.records),
                 )
             self._head_revision = revision
-            self._active_number = flight.number
-        self._active = flight.segment
+            self._active_number = pending.number
+        self._active = pending.segment
         self._active_revision = revision
-        if flight.expired:
-            self._forget(flight.expired)
-        for record in flight.records:
-            remember(self._index, record)
+        if pending.expired:
+            self._drop_segments(pending.expired)
+        for record in pending.records:
+            merge_record(self._index, record)
         self._phase = _Phase.READY
         actions: list[Action] = [
-            Answer(claim, ClaimOutcome.CLAIMED, claim.holder)
-            for claim in flight.claims.values()
+            ReplyToClaim(claim, ClaimOutcome.CLAIMED, claim.holder)
+            for claim in pending.claims.values()
         ]
-        return actions + self._advance(moment)
+        return actions + self._advance(timestamp)
 
-    def conflicted(self, moment: Moment) -> list[Action]:
-        """Take that another writer changed the shard; nothing was applied."""
-        return self._reload(moment)
+    def on_conflict(self, timestamp: Timestamp) -> list[Action]:
+        """Reload after the pending commit lost against another writer."""
+        return self._reload(timestamp)
 
-    def unknown(self, moment: Moment) -> list[Action]:
-        """Take that the commit in flight may have been or may yet be applied.
+    def on_unknown_outcome(self, timestamp: Timestamp) -> list[Action]:
+        """Reload after a commit that may have been applied or may still be applied.
 
-        The segments are read back before anything else. If the commit is applied even
-        later, the next commit conflicts with it.
+        The segments are read back before any further commit. If the commit is applied
+        after that, the next commit conflicts with it.
         """
-        return self._reload(moment)
+        return self._reload(timestamp)
 
-    def unavailable(self, moment: Moment) -> list[Action]:
-        """Take that a load or the commit in flight certainly failed."""
+    def on_unavailable(self, timestamp: Timestamp) -> list[Action]:
+        """Handle the definite failure of a load or of the pending commit."""
         if self._phase is _Phase.COMMITTING:
-            self._restore(self._land())
+            self._requeue(self._take_pending_commit())
             self._phase = _Phase.READY
         else:
             self._phase = _Phase.EMPTY
-        self._failing_until = moment.now + RETRY_DELAY_S
-        refused = list(self._waiting.values())
-        self._waiting.clear()
-        return [Answer(claim, ClaimOutcome.UNAVAILABLE) for claim in refused]
-
-    def _land(self) -> Flight:
-        flight = self._flight
-        if self._phase is not _Phase.COMMITTING or flight is None:
-            raise RuntimeError("no commit is in flight")
-        self._flight = None
-        return flight
-
-    def _restore(self, flight: Flight) -> None:
-        self._waiting = {**flight.claims, **self._waiting}
-        self._changes = {**flight.changes, **self._changes}
-
-    def _reload(self, moment: Moment) -> list[Action]:
-        self._restore(self._land())
+        self._store_backoff_until = timestamp.monotonic + STORE_RETRY_DELAY_S
+        waiting = list(self._waiting_claims.values())
+        self._waiting_claims.clear()
+        return [ReplyToClaim(claim, ClaimOutcome.UNAVAILABLE) for claim in waiting]
+
+    def _take_pending_commit(self) -> PendingCommit:
+        pending = self._pending_commit
+        if self._phase is not _Phase.COMMITTING or pending is None:
+            raise RuntimeError("no commit is pending")
+        self._pending_commit = None
+        return pending
+
+    def _requeue(self, pending: PendingCommit) -> None:
+        self._waiting_claims = {**pending.claims, **self._waiting_claims}
+        self._pending_changes = {**pending.changes, **self._pending_changes}
+
+    def _reload(self, timestamp: Timestamp) -> list[Action]:
+        self._requeue(self._take_pending_commit())
         self._phase = _Phase.EMPTY
-        return self._advance(moment)
+        return self._advance(timestamp)
 
-    def _advance(self, moment: Moment) -> list[Action]:
+    def _advance(self, timestamp: Timestamp) -> list[Action]:
         if self._phase in {_Phase.LOADING, _Phase.COMMITTING}:
             return []
-        actions: list[Action] = self._drop_late(moment)
+        actions: list[Action] = self._expire_waiting_claims(timestamp)
         if self._phase is _Phase.EMPTY:
-            if self._waiting or self._changes_due(moment):
+            if self._waiting_claims or self._changes_due(timestamp):
                 self._phase = _Phase.LOADING
                 actions.append(LoadSegments(self._prefix))
             return actions
-        actions += self._answer_known(moment)
-        commit_due = moment.now >= self._next_commit
-        if commit_due and (self._waiting or self._changes_due(moment)):
-            commit = self._commit(moment)
+        actions += self._reply_to_known_claims(timestamp)
+        commit_due = timestamp.monotonic >= self._next_commit_time
+        if commit_due and (self._waiting_claims or self._changes_due(timestamp)):
+            commit = self._start_commit(timestamp)
             if commit is not None:
                 actions.append(commit)
         return actions
 
-    def _changes_due(self, moment: Moment) -> bool:
+    def _changes_due(self, timestamp: Timestamp) -> bool:
         return (
-            bool(self._changes)
-            and moment.now >= self._changes_since + FINISH_DELAY_S
-            and moment.now >= self._failing_until
+            bool(self._pending_changes)
+            and timestamp.monotonic >= self._first_change_time + FINISH_DELAY_S
+            and timestamp.monotonic >= self._store_backoff_until
         )
 
-    def _drop_late(self, moment: Moment) -> list[Action]:
-        late = [
+    def _expire_waiting_claims(self, timestamp: Timestamp) -> list[Action]:
+        expired = [
             identity
-            for identity, claim in self._waiting.items()
-            if moment.now >= claim.deadline
+            for identity, claim in self._waiting_claims.items()
+            if timestamp.monotonic >= claim.deadline
         ]
         return [
-            Answer(self._waiting.pop(identity), ClaimOutcome.UNAVAILABLE)
-            for identity in late
+            ReplyToClaim(self._waiting_claims.pop(identity), ClaimOutcome.UNAVAILABLE)
+            for identity in expired
         ]
 
-    def _answer_known(self, moment: Moment) -> list[Action]:
-        answers: list[Action] = []
-        for identity, claim in list(self._waiting.items()):
-            answer = self._known(moment, claim)
-            if answer is not None:
-                del self._waiting[identity]
-                answers.append(answer)
-        return answers
-
-    def _known(self, moment: Moment, claim: ClaimRequest) -> Answer | None:
+    def _reply_to_known_claims(self, timestamp: Timestamp) -> list[Action]:
+        replies: list[Action] = []
+        for identity, claim in list(self._waiting_claims.items()):
+            reply = self._reply_from_index(timestamp, claim)
+            if reply is not None:
+                del self._waiting_claims[identity]
+                replies.append(reply)
+        return replies
+
+    def _reply_from_index(
+        self, timestamp: Timestamp, claim: ClaimRequest
+    ) -> ReplyToClaim | None:
         record = self._index.get(claim.key_hash)
         if record is None:
-            # The holder checked the key by its own clock and more strictly; these
-            # bounds only keep a delayed claim from outliving the expiry of a record.
-            oldest = moment.wall - self._settings.window_s
-            newest = moment.wall + 2 * self._settings.clock_difference_s
+            # The holder has already applied stricter bounds by its own clock. These
+            # bounds prevent a delayed claim from succeeding after the record of its
+            # key has expired.
+            oldest = timestamp.unix_time - self._settings.window_s
+            newest = timestamp.unix_time + 2 * self._settings.clock_difference_s
             if oldest <= claim.issued <= newest:
                 return None
-            return Answer(claim, ClaimOutcome.EXPIRED)
+            return ReplyToClaim(claim, ClaimOutcome.EXPIRED)
         if record.body_hash != claim.body_hash:
-            return Answer(
+            return ReplyToClaim(
                 claim, ClaimOutcome.BODY_MISMATCH, record.holder, record.state
             )
-        own = (record.holder, record.request) == (
+        is_repeat = (record.holder, record.request_id_low) == (
             claim.holder,
-            claim.request_id & REQUEST_MASK,
+            claim.request_id & REQUEST_ID_MASK,
+        )
+        if is_repeat and record.state is ClaimState.CLAIMED:
+            return ReplyToClaim(claim, ClaimOutcome.CLAIMED, record.holder)
+        return ReplyToClaim(claim, ClaimOutcome.DUPLICATE, record.holder, record.state)
+
+    def _start_commit(self, timestamp: Timestamp) -> CommitSegment | None:
+        changes, self._pending_changes = self._pending_changes, {}
+        from_active, from_sealed = self._changed_records(changes)
+        active = self._active.with_records(from_active, self._active.latest_at)
+        age_s = timestamp.unix_time - active.created_at
+        adds_records = bool(self._waiting_claims or from_sealed)
+        new_segment = (
+            adds_records
+            and age_s >= self._settings.segment_age_s
+            and bool(active.records)
         )
-        if own and record.state is ClaimState.CLAIMED:
-            return Answer(claim, ClaimOutcome.CLAIMED, record.holder)
-        return Answer(claim, ClaimOutcome.DUPLICATE, record.holder, record.state)
-
-    def _commit(self, moment: Moment) -> CommitSegment | None:
-        changes, self._changes = self._changes, {}
-        current, moved = self._changed_records(changes)
-        active = self._active.with_records(current, self._active.latest)
-        age = moment.wall - active.created
-        grows = bool(self._waiting or moved)
-        full = grows and age >= self._settings.segment_age_s and bool(active.records)
-        claims, records = self._batch(active, moved, full=full)
-        if not claims and not full and self._waiting:
-            full = True
-            claims, records = self._batch(active, moved, full=True)
-        if not records and not current:
+        claims, records = self._select_claims(
+            active, from_sealed, new_segment=new_segment
+        )
+        if not claims and not new_segment and self._waiting_claims:
+            new_segment = True
+            claims, records = self._select_claims(active, from_sealed, new_segment=True)
+        if not records and not from_active:
             return None
-        latest = max([moment.wall, *(claim.issued for claim in claims.values())])
-        create = full or self._active_number == 0
+        latest_at = max(
+            [timestamp.unix_time, *(claim.issued for claim in claims.values())]
+        )
+        create = new_segment or self._active_number == 0
         number = self._active_number + create
         if create:
             sealed = replace(active, sealed=True)
-            segment = Segment(moment.wall, latest, records)
+            segment = Segment(timestamp.unix_time, latest_at, records)
         else:
             sealed = active
-            segment = active.with_records(records, latest)
-        flight = Flight(
+            segment = active.with_records(records, latest_at)
+        pending = PendingCommit(
             claims,
             changes,
-            (*current.values(), *records.values()),
+            (*from_active.values(), *records.values()),
             number,
             segment,
             sealed,
-            self._expired(moment),
+            self._expired_segments(timestamp),
         )
         for identity in claims:
-            del self._waiting[identity]
-        self._flight = flight
+            del self._waiting_claims[identity]
+        self._pending_commit = pending
         self._phase = _Phase.COMMITTING
-        self._next_commit = moment.now + self._settings.commit_interval_s
-        return CommitSegment(self._transaction(flight, create=create))
+        self._next_commit_time = timestamp.monotonic + self._settings.commit_interval_s
+        return CommitSegment(self._transaction(pending, create=create))
 
-    def _transaction(self, flight: Flight, *, create: bool) -> Transaction:
+    def _transaction(self, pending: PendingCommit, *, create: bool) -> Transaction:
         compares: dict[str, int] = {}
         puts: dict[str, bytes] = {}
         if self._active_number:
-            active = self._key(self._active_number)
-            compares[active] = self._active_revision
-            # Sealing rewrites the segment, so that a paused writer's commit fails.
-            puts[active] = flight.sealed.encode()
+            active_key = self._segment_key(self._active_number)
+            compares[active_key] = self._active_revision
+            # Sealing rewrites the segment, so that the commit of a paused writer fails.
+            puts[active_key] = pending.sealed.encode()
         if create:
-            head = self._prefix + "head"
-            compares[head] = self._head_revision
-            compares[self._key(flight.number)] = 0
-            puts[head] = str(flight.number).encode()
-        puts[self._key(flight.number)] = flight.segment.encode()
-        deletes = tuple(self._key(number) for number in flight.expired)
+            head_key = self._prefix + "head"
+            compares[head_key] = self._head_revision
+            compares[self._segment_key(pending.number)] = 0
+            puts[head_key] = str(pending.number).encode()
+        puts[self._segment_key(pending.number)] = pending.segment.encode()
+        deletes = tuple(self._segment_key(number) for number in pending.expired)
         return Transaction(compares, puts, deletes)
 
     def _changed_records(
         self, changes: Mapping[bytes, tuple[str, ClaimState]]
     ) -> tuple[dict[bytes, ClaimRecord], dict[bytes, ClaimRecord]]:
-        """Return changed records of the active segment, and of sealed ones."""
-        current: dict[bytes, ClaimRecord] = {}
-        moved: dict[bytes, ClaimRecord] = {}
+        """Return the changed records of the active and of the sealed segments."""
+        from_active: dict[bytes, ClaimRecord] = {}
+        from_sealed: dict[bytes, ClaimRecord] = {}
         for key_hash, (sender, state) in changes.items():
             record = self._index.get(key_hash)
             if record is None or record.state is not ClaimState.CLAIMED:
@@ -342,60 +355,66 @@
             if Holder.parse(record.holder).instance != sender:
                 continue
             changed = replace(record, state=state)
-            target = current if key_hash in self._active.records else moved
-            target[key_hash] = changed
-        return current, moved
-
-    def _batch(
-        self, active: Segment, moved: Mapping[bytes, ClaimRecord], *, full: bool
+            group = from_active if key_hash in self._active.records else from_sealed
+            group[key_hash] = changed
+        return from_active, from_sealed
+
+    def _select_claims(
+        self,
+        active: Segment,
+        from_sealed: Mapping[bytes, ClaimRecord],
+        *,
+        new_segment: bool,
     ) -> tuple[dict[tuple[str, int], ClaimRequest], dict[bytes, ClaimRecord]]:
-        """Choose the claims that fit; at least one does in a new segment."""
-        base = Segment(0.0, 0.0) if full else active
-        records = dict(moved)
+        """Select the waiting claims that fit; a new segment takes at least one."""
+        base = Segment(0.0, 0.0) if new_segment else active
+        records = dict(from_sealed)
         claims: dict[tuple[str, int], ClaimRequest] = {}
-        size = base.size_with(records)
+        size_bytes = base.encoded_size_with(records)
         holders = {record.holder for record in base.records.values()}
-        for identity, claim in self._waiting.items():
+        for identity, claim in self._waiting_claims.items():
             if claim.key_hash in records:
                 continue
             record = ClaimRecord(
                 claim.key_hash,
                 claim.body_hash,
                 claim.holder,
-                claim.request_id & REQUEST_MASK,
+                claim.request_id & REQUEST_ID_MASK,
                 ClaimState.CLAIMED,
             )
-            size += record_size(record, holders)
-            if size > self._settings.segment_bytes and (claims or not full):
+            size_bytes += record_size(record, holders)
+            if size_bytes > self._settings.segment_bytes and (
+                claims or not new_segment
+            ):
                 break
             holders.add(claim.holder)
             records[claim.key_hash] = record
             claims[identity] = claim
         return claims, records
 
-    def _expired(self, moment: Moment) -> tuple[int, ...]:
-        kept = self._settings.window_s + 2 * self._settings.clock_difference_s
+    def _expired_segments(self, timestamp: Timestamp) -> tuple[int, ...]:
+        retention_s = self._settings.window_s + 2 * self._settings.clock_difference_s
         expired = [
             number
-            for number, (latest, _) in sorted(self._sealed.items())
-            if moment.wall > latest + kept
+            for number, (latest_at, _) in sorted(self._sealed.items())
+            if timestamp.unix_time > latest_at + retention_s
         ]
-        return tuple(expired[:EXPIRED_PER_COMMIT])
+        return tuple(expired[:EXPIRED_SEGMENTS_PER_COMMIT])
 
-    def _forget(self, numbers: Iterable[int]) -> None:
-        dropped = [self._sealed.pop(number)[1] for number in numbers]
-        # A later segment repeats a record whose state changed after it was sealed.
-        kept = set(self._active.records).union(
+    def _drop_segments(self, numbers: Iterable[int]) -> None:
+        dropped_keys = [self._sealed.pop(number)[1] for number in numbers]
+        # A record that changed after its segment was sealed is also in a later segment.
+        retained_keys = set(self._active.records).union(
             *(keys for _, keys in self._sealed.values())
         )
-        for key_hash in set().union(*dropped) - kept:
+        for key_hash in set().union(*dropped_keys) - retained_keys:
             self._index.pop(key_hash, None)
 
-    def _key(self, number: int) -> str:
+    def _segment_key(self, number: int) -> str:
         return f"{self._prefix}{number:010d}"
 
 
 def record_size(record: ClaimRecord, holders: set[str]) -> int:
-    """Return the bytes that a record adds to a segment with `holders`."""
-    name = 0 if record.holder in holders else 1 + len(record.holder.encode())
-    return RECORD_BYTES + name
+    """Return the size in bytes that a record adds to a segment with `holders`."""
+    holder_bytes = 0 if record.holder in holders else 1 + len(record.holder.encode())
+    return RECORD_BYTES + holder_bytes
--- a/borageworks/claims/tests/fake_store.py
+++ b/borageworks/claims/tests/fake_store.py
@@ -1,4 +1,4 @@
-"""Naive store for tests of the claim shard."""
+"""In-memory store for tests of the claim shard."""
 
 from __future__ import annotations
 
@@ -6,18 +6,18 @@
 
 
 class FakeStore:
-    """Keys with modification revisions and one compare-and-swap."""
+    """Key-value store with modification revisions and compare-and-swap."""
 
     def __init__(self) -> None:
         self.values: dict[str, StoredValue] = {}
         self.revision = 1
 
     def range(self, prefix: str) -> dict[str, StoredValue]:
-        """Return all keys that start with `prefix`."""
+        """Return the keys and values under `prefix`."""
         return {k: v for k, v in self.values.items() if k.startswith(prefix)}
 
     def commit(self, transaction: Transaction) -> bool:
-        """Apply a transaction if its compares hold."""
+        """Apply a transaction if its compares match; return whether it was applied."""
         for key, revision in transaction.compares.items():
             stored = self.values.get(key)
             if (stored.mod_revision if stored else 0) != revision:
--- a/borageworks/claims/tests/measure_claims.py
+++ b/borageworks/claims/tests/measure_claims.py
@@ -1,4 +1,4 @@
-"""Measures claims against store calls; the figures stand in docs/claims.md.
+"""Measure claim rate, latency and store calls; docs/claims.md lists the results.
 
 Run as `python -m borageworks.claims.tests.measure_claims --help`.
 """
@@ -17,12 +17,12 @@
 
 from borageworks.claims.content import ShardContent
 from borageworks.claims.key import IdempotencyKey, body_hash
-from borageworks.claims.moment import Moment
 from borageworks.claims.record import ClaimRecord
 from borageworks.claims.segment import Segment
 from borageworks.claims.service import ClaimService
 from borageworks.claims.shard import ClaimShard
 from borageworks.claims.tests.test_service import make_settings
+from borageworks.claims.timestamp import Timestamp
 from borageworks.config.settings import ClaimSettings
 from borageworks.metrics import Metrics
 from borageworks.store.etcd import EtcdStore
@@ -39,15 +39,15 @@
 from borageworks_emulator.store import EmulatedStore, StoreFaults
 
 STORE_DELAY_S = 0.003
-RUN_S = 0.05
-DESIGN_RATE = 420.0
+REQUEST_DURATION_S = 0.05
+DESIGN_CLAIMS_PER_S = 420.0
 WARM_UP_S = 3.0
 
 
 async def measure(
     shards: int, interval: float, rate: float, instances: int, seconds: float, seed: int
 ) -> str:
-    """Claim at `rate` from all instances, finish each claim, and report."""
+    """Claim and finish requests at `rate` per second and return a report."""
     emulated = EmulatedStore(StoreFaults(delay_s=STORE_DELAY_S))
     await emulated.start()
     names = [f"domain-{n % 3}-router-{n}" for n in range(instances)]
@@ -77,34 +77,34 @@
     outcomes: Counter[ClaimOutcome] = Counter()
     latency = Metrics()
 
-    async def one(number: int, instance: str, counted: bool) -> None:
+    async def claim_and_finish(number: int, instance: str, measured: bool) -> None:
         key = IdempotencyKey.parse(f"{int(time.time())}-{seed}-{number}")
         started = loop.time()
         reply = await services[instance].claim("o", key, body_hash(b"x"))
-        if counted:
+        if measured:
             outcomes[reply.outcome] += 1
             latency.observe("claim", loop.time() - started)
-        await asyncio.sleep(RUN_S)
+        await asyncio.sleep(REQUEST_DURATION_S)
         services[instance].finish("o", key, ClaimState.DONE)
 
     start = loop.time()
-    due = start
+    next_start = start
     tasks: list[asyncio.Task[None]] = []
-    before: Counter[str] | None = None
-    cpu = 0.0
-    written = 0
-    while due < start + WARM_UP_S + seconds:
-        due += random.expovariate(rate)
-        await asyncio.sleep(max(0.0, due - loop.time()))
-        counted = due >= start + WARM_UP_S
-        if counted and before is None:
-            before, cpu = Counter(emulated.calls), time.process_time()
-            written = emulated.bytes_written
-        work = one(len(tasks), random.choice(names), counted)
-        tasks.append(asyncio.create_task(work))
-    written = emulated.bytes_written - written
-    calls = emulated.calls - (before or Counter())
-    cpu = time.process_time() - cpu
+    calls_before: Counter[str] | None = None
+    cpu_s = 0.0
+    written_bytes = 0
+    while next_start < start + WARM_UP_S + seconds:
+        next_start += random.expovariate(rate)
+        await asyncio.sleep(max(0.0, next_start - loop.time()))
+        measured = next_start >= start + WARM_UP_S
+        if measured and calls_before is None:
+            calls_before, cpu_s = Counter(emulated.calls), time.process_time()
+            written_bytes = emulated.bytes_written
+        coroutine = claim_and_finish(len(tasks), random.choice(names), measured)
+        tasks.append(asyncio.create_task(coroutine))
+    written_bytes = emulated.bytes_written - written_bytes
+    calls = emulated.calls - (calls_before or Counter())
+    cpu_s = time.process_time() - cpu_s
     await asyncio.gather(*tasks)
     for service in services.values():
         await service.close()
@@ -123,33 +123,35 @@
         f"claimed {claimed / seconds:6.1f}/s "
         f"of {sum(outcomes.values()) / seconds:6.1f}, "
         f"txn {calls['txn'] / seconds:6.1f}/s, range {calls['range']}, "
-        f"written {written / seconds / 1000:.0f} KB/s, "
+        f"written {written_bytes / seconds / 1000:.0f} KB/s, "
         f"conflicts {metrics.value('claim_conflicts')}, "
         f"p50 {latency.quantile('claim', 50) * 1000:.1f} ms, "
         f"p99 {latency.quantile('claim', 99) * 1000:.1f} ms, "
-        f"cpu {cpu / seconds:.2f}, "
+        f"cpu {cpu_s / seconds:.2f}, "
         f"{size / max(1, records):.1f} B/record in {len(segments)} segments"
     )
 
 
 def make_segment(records: int, holders: int, random: Random) -> Segment:
-    """Return a segment with random holders."""
-    found = {}
+    """Return a segment whose records have random holders."""
+    records_by_key = {}
     for number in range(records):
         index = random.randrange(holders)
         holder = f"domain-{index % 9}-router-{index}~{index:08x}"
-        key = random.randbytes(16)
-        found[key] = ClaimRecord(key, b"b" * 8, holder, number, ClaimState.DONE)
-    return Segment(0.0, 0.0, found)
+        key_hash = random.randbytes(16)
+        records_by_key[key_hash] = ClaimRecord(
+            key_hash, b"b" * 8, holder, number, ClaimState.DONE
+        )
+    return Segment(0.0, 0.0, records_by_key)
 
 
 def record_bytes(records: int, holders: int, seed: int) -> float:
-    """Return the bytes a record in a segment with random holders."""
+    """Return the mean encoded bytes per record in a segment with random holders."""
     return len(make_segment(records, holders, Random(seed)).encode()) / records
 
 
-def takeover(segments: int, records: int, seed: int) -> str:
-    """Return time and memory of a writer that loads a shard."""
+def measure_takeover(segments: int, records: int, seed: int) -> str:
+    """Measure the time and memory that a writer needs to load a shard."""
     random = Random(seed)
     values = {"claims/0000/head": StoredValue(str(segments).encode(), 1)}
     for number in range(1, segments + 1):
@@ -159,41 +161,42 @@
     content = ShardContent()
     times = [time.perf_counter()]
     times += [time.perf_counter() for _ in content.decode("claims/0000/", values)]
-    shard.loaded(Moment(0.0, 0.0), content)
+    shard.on_loaded(Timestamp(0.0, 0.0), content)
     times.append(time.perf_counter())
     longest = max(after - before for before, after in pairwise(times))
     del content, shard
     tracemalloc.start()
     shard = ClaimShard(0, ClaimSettings())
-    content = ShardContent.read("claims/0000/", values)
-    shard.loaded(Moment(0.0, 0.0), content)
+    content = ShardContent.decode_all("claims/0000/", values)
+    shard.on_loaded(Timestamp(0.0, 0.0), content)
     memory, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     return (
-        f"takeover of {shard.records} records: {(times[-1] - times[0]) * 1000:.0f} ms "
+        f"takeover of {shard.record_count} records: "
+        f"{(times[-1] - times[0]) * 1000:.0f} ms "
         f"in steps of at most {longest * 1000:.1f} ms, "
-        f"{memory / shard.records:.0f} B/record in memory"
+        f"{memory / shard.record_count:.0f} B/record in memory"
     )
 
 
-def journal(shards: int, holders: int, seed: int) -> str:
-    """Return the journal's size for the claims that the design page expects."""
-    limits = ClaimSettings()
-    kept = limits.window_s + 2 * limits.clock_difference_s
-    rate = DESIGN_RATE / shards
+def estimate_journal(shards: int, holders: int, seed: int) -> str:
+    """Estimate the journal size at the design claim rate."""
+    claim_settings = ClaimSettings()
+    retention_s = claim_settings.window_s + 2 * claim_settings.clock_difference_s
+    rate = DESIGN_CLAIMS_PER_S / shards
     records = bisect_right(
-        range(1, int(rate * limits.segment_age_s) + 1),
-        limits.segment_bytes,
+        range(1, int(rate * claim_settings.segment_age_s) + 1),
+        claim_settings.segment_bytes,
         key=lambda count: round(count * record_bytes(count, holders, seed)),
     )
     size = record_bytes(records, holders, seed)
-    segments = rate * kept / records
+    segments = rate * retention_s / records
     return (
-        f"{shards} shards, {holders} instances at {DESIGN_RATE:.0f}/s: "
-        f"{records} records a segment of {records * size / 1000:.1f} KB, "
-        f"{size:.1f} B/record, {segments:.0f} segments a shard, "
-        f"{DESIGN_RATE * kept * size / 1e6:.1f} MB kept, "
-        f"{DESIGN_RATE * 3600 * size / 1e6:.1f} MB an hour"
+        f"{shards} shards, {holders} instances at {DESIGN_CLAIMS_PER_S:.0f}/s: "
+        f"{records} records per segment of {records * size / 1000:.1f} KB, "
+        f"{size:.1f} B/record, {segments:.0f} segments per shard, "
+        f"{DESIGN_CLAIMS_PER_S * retention_s * size / 1e6:.1f} MB retained, "
+        f"{DESIGN_CLAIMS_PER_S * 3600 * size / 1e6:.1f} MB per hour"
     )
 
 
@@ -212,16 +215,18 @@
     seconds: float,
     seed: int,
 ) -> None:
-    """Measure every combination, one after the other."""
-    click.echo(takeover(80, 304, seed))
+    """Measure every combination of the options in turn."""
+    click.echo(measure_takeover(80, 304, seed))
     for holders in (9, 800):
         for count in shards:
-            click.echo(journal(count, holders, seed))
+            click.echo(estimate_journal(count, holders, seed))
     for count in shards:
-        for pause in interval:
-            for offered in rate:
-                work = measure(count, pause, offered, instances, seconds, seed)
-                click.echo(asyncio.run(work))
+        for interval_s in interval:
+            for offered_rate in rate:
+                coroutine = measure(
+                    count, interval_s, offered_rate, instances, seconds, seed
+                )
+                click.echo(asyncio.run(coroutine))
 
 
 if __name__ == "__main__":
--- a/borageworks/claims/tests/test_service.py
+++ b/borageworks/claims/tests/test_service.py
@@ -1,4 +1,4 @@
-"""Tests of claim services of several instances over one emulated store."""
+"""Tests of the claim services of several instances with one emulated store."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 from borageworks.claims.key import IdempotencyKey, body_hash
 from borageworks.claims.service import ClaimService
-from borageworks.claims.writer import shard_of, shard_writer
+from borageworks.claims.sharding import shard_of, shard_writer
 from borageworks.config.settings import ClaimSettings, Settings
 from borageworks.exceptions import MessageMalformedError
 from borageworks.metrics import Metrics
@@ -31,8 +31,8 @@
 
 SHARDS = ClaimSettings().shards
 STORE_TIMEOUT_S = 0.4
-# For tests in which the store answers: a slow machine is no store fault.
-PATIENT_TIMEOUT_S = 20.0
+# For tests without store faults, so that a slow machine does not cause timeouts.
+LONG_STORE_TIMEOUT_S = 20.0
 BODY = body_hash(b"body")
 CLAIMED = (ClaimOutcome.CLAIMED, ClaimState.CLAIMED)
 
@@ -54,15 +54,15 @@
 
 
 class Fleet:
-    """Claim services joined by a bus that can drop messages."""
+    """Claim services connected by a message bus that can drop messages."""
 
     def __init__(self, store: EmulatedStore) -> None:
         self.store = store
         self.services: dict[str, ClaimService] = {}
         self.metrics = Metrics()
-        self.live: list[str] = []
-        self.views: dict[str, list[str]] = {}
-        self.keys = 0
+        self.live_members: list[str] = []
+        self.member_views: dict[str, list[str]] = {}
+        self.key_count = 0
         self.drop: Callable[[str, Message], bool] = lambda _to, _message: False
         self.stores: list[EtcdStore] = []
 
@@ -78,31 +78,36 @@
                 asyncio.get_running_loop().call_soon(receive, instance, message)
 
         def members() -> list[str]:
-            return self.views.get(instance, self.live)
+            return self.member_views.get(instance, self.live_members)
 
         service = ClaimService(settings, store, Timers(), self.metrics, send, members)
         self.services[instance] = service
-        self.live = sorted(self.services)
+        self.live_members = sorted(self.services)
         return service
 
     async def claim(self, instance: str, key: IdempotencyKey):
         reply = await self.services[instance].claim("o", key, BODY)
         return reply.outcome, reply.state
 
-    async def until(self, instance: str, key: IdempotencyKey, state: ClaimState):
-        """Resend until `state` is told; a resend is never claimed."""
-        outcome, told = await self.claim(instance, key)
-        while (outcome, told) != (ClaimOutcome.DUPLICATE, state):
+    async def wait_for_state(
+        self, instance: str, key: IdempotencyKey, state: ClaimState
+    ):
+        """Resend until `state` is reported; a resend is never claimed."""
+        outcome, reported = await self.claim(instance, key)
+        while (outcome, reported) != (ClaimOutcome.DUPLICATE, state):
             assert outcome is not ClaimOutcome.CLAIMED, "a resend was claimed"
             await asyncio.sleep(0.05)
-            outcome, told = await self.claim(instance, key)
+            outcome, reported = await self.claim(instance, key)
 
-    def key_written_by(self, instance: str) -> IdempotencyKey:
-        """Return a new key whose shard another instance does not write."""
+    def new_key_written_by(self, instance: str) -> IdempotencyKey:
+        """Return a new key whose shard is written by `instance`."""
         while True:
-            self.keys += 1
-            key = IdempotencyKey.parse(f"{int(time.time())}-{self.keys}")
-            if shard_writer(shard_of(key.hash("o"), SHARDS), self.live) == instance:
+            self.key_count += 1
+            key = IdempotencyKey.parse(f"{int(time.time())}-{self.key_count}")
+            if (
+                shard_writer(shard_of(key.hash("o"), SHARDS), self.live_members)
+                == instance
+            ):
                 return key
 
 
@@ -111,26 +116,26 @@
     """Start an emulated store and one service for each instance."""
     store = EmulatedStore()
     await store.start()
-    found = Fleet(store)
+    running_fleet = Fleet(store)
     for instance in instances:
-        found.start(instance)
+        running_fleet.start(instance)
     try:
-        yield found
+        yield running_fleet
     finally:
-        for service in found.services.values():
+        for service in running_fleet.services.values():
             await service.close()
-        for client in found.stores:
+        for client in running_fleet.stores:
             await client.close()
         await store.stop()
 
 
 class ClaimServiceTest(testtools.TestCase):
-    """Guards against second runs and wrong states across instances."""
+    """Guards against requests that run twice and wrong states across instances."""
 
-    def test_a_resend_to_any_instance_is_told_holder_and_state(self):
+    def test_a_resend_to_any_instance_gets_holder_and_state(self):
         async def run():
             async with fleet("a", "b", "c") as f:
-                key = f.key_written_by("b")
+                key = f.new_key_written_by("b")
                 self.assertEqual(CLAIMED, await f.claim("a", key))
                 for instance in "abc":
                     reply = await f.services[instance].claim("o", key, BODY)
@@ -139,31 +144,31 @@
                 other = await f.services["c"].claim("o", key, body_hash(b"other"))
                 self.assertEqual(ClaimOutcome.BODY_MISMATCH, other.outcome)
                 f.services["a"].finish("o", key, ClaimState.DONE)
-                await f.until("c", key, ClaimState.DONE)
+                await f.wait_for_state("c", key, ClaimState.DONE)
 
         asyncio.run(run())
 
-    def test_a_claim_whose_reply_was_lost_is_claimed_by_its_repetition(self):
+    def test_a_claim_succeeds_on_resend_after_a_lost_reply(self):
         async def run():
             async with fleet("a", "b") as f:
                 lost: list[Message] = []
 
                 def drop(_to, message):
-                    first = isinstance(message, ClaimReply) and not lost
-                    lost.extend([message] * first)
-                    return first
+                    dropped = isinstance(message, ClaimReply) and not lost
+                    lost.extend([message] * dropped)
+                    return dropped
 
                 f.drop = drop
-                self.assertEqual(CLAIMED, await f.claim("a", f.key_written_by("b")))
+                self.assertEqual(CLAIMED, await f.claim("a", f.new_key_written_by("b")))
                 self.assertEqual(1, len(lost))
 
         asyncio.run(run())
 
-    def test_a_refused_claim_that_was_recorded_is_never_run_and_released(self):
+    def test_a_recorded_claim_that_timed_out_is_released(self):
         async def run():
             async with fleet("a", "b") as f:
                 f.drop = lambda _to, message: isinstance(message, ClaimReply)
-                key = f.key_written_by("b")
+                key = f.new_key_written_by("b")
                 outcome, _ = await f.claim("a", key)
                 self.assertEqual(ClaimOutcome.UNAVAILABLE, outcome)
                 f.drop = lambda _to, _message: False
@@ -171,12 +176,12 @@
                 self.assertEqual(
                     (ClaimOutcome.DUPLICATE, ClaimState.CLAIMED), (outcome, state)
                 )
-                await f.until("a", key, ClaimState.RELEASED)
-                await f.until("b", key, ClaimState.RELEASED)
+                await f.wait_for_state("a", key, ClaimState.RELEASED)
+                await f.wait_for_state("b", key, ClaimState.RELEASED)
 
         asyncio.run(run())
 
-    def test_a_late_reply_to_a_refused_claim_releases_it(self):
+    def test_a_late_reply_releases_a_claim_that_timed_out(self):
         async def run():
             async with fleet("a", "b") as f:
                 late: list[ClaimReply] = []
@@ -187,64 +192,64 @@
                     return isinstance(message, ClaimReply)
 
                 f.drop = drop
-                key = f.key_written_by("b")
+                key = f.new_key_written_by("b")
                 await f.claim("a", key)
                 f.drop = lambda _to, _message: False
                 f.services["a"].receive("b", late[0])
-                await f.until("b", key, ClaimState.RELEASED)
+                await f.wait_for_state("b", key, ClaimState.RELEASED)
 
         asyncio.run(run())
 
     def test_a_cancelled_claim_is_released(self):
         async def run():
             async with fleet("a", "b") as f:
-                key = f.key_written_by("b")
+                key = f.new_key_written_by("b")
                 task = asyncio.create_task(f.claim("a", key))
                 await asyncio.sleep(0)
                 task.cancel()
                 await asyncio.wait((task,))
-                await f.until("b", key, ClaimState.RELEASED)
+                await f.wait_for_state("b", key, ClaimState.RELEASED)
 
         asyncio.run(run())
 
-    def test_a_restarted_holder_knows_nothing_of_its_former_claims(self):
+    def test_a_restarted_instance_is_not_the_holder_of_its_earlier_claims(self):
         async def run():
             async with fleet("a", "b") as f:
-                key = f.key_written_by("b")
+                key = f.new_key_written_by("b")
                 await f.claim("a", key)
                 await f.services["a"].close()
                 f.start("a")
                 reply = await f.services["a"].claim("o", key, BODY)
                 self.assertEqual(ClaimOutcome.DUPLICATE, reply.outcome)
                 self.assertIsNone(f.services["a"].instance_of(reply))
-                f.live = ["b"]
+                f.live_members = ["b"]
                 self.assertIsNone(f.services["b"].instance_of(reply))
 
         asyncio.run(run())
 
-    def test_the_next_writer_takes_over_when_a_writer_dies(self):
+    def test_another_writer_takes_over_after_a_crash(self):
         async def run():
             async with fleet("a", "b", "c") as f:
-                key = f.key_written_by("b")
+                key = f.new_key_written_by("b")
                 await f.claim("a", key)
-                fresh = f.key_written_by("b")
+                new_key = f.new_key_written_by("b")
                 dead = f.services.pop("b")
-                waiting = asyncio.create_task(f.claim("a", fresh))
+                waiting = asyncio.create_task(f.claim("a", new_key))
                 await asyncio.sleep(0)
-                f.live = ["a", "c"]
+                f.live_members = ["a", "c"]
                 self.assertEqual(CLAIMED, await waiting)
-                await f.until("c", key, ClaimState.CLAIMED)
+                await f.wait_for_state("c", key, ClaimState.CLAIMED)
                 await dead.close()
 
         asyncio.run(run())
 
-    @mock.patch(f"{__name__}.STORE_TIMEOUT_S", PATIENT_TIMEOUT_S)
-    def test_two_instances_that_both_write_a_shard_claim_a_key_once(self):
+    @mock.patch(f"{__name__}.STORE_TIMEOUT_S", LONG_STORE_TIMEOUT_S)
+    def test_two_concurrent_writers_of_a_shard_claim_a_key_once(self):
         async def run():
             async with fleet("a", "b") as f:
-                keys = [f.key_written_by("b")]
+                keys = [f.new_key_written_by("b")]
                 keys += [IdempotencyKey.parse(keys[0].text + str(n)) for n in range(60)]
-                f.views = {"a": ["a"], "b": ["b"]}
+                f.member_views = {"a": ["a"], "b": ["b"]}
                 replies = await asyncio.gather(
                     *(f.claim(instance, key) for key in keys for instance in "ab")
                 )
@@ -257,12 +262,12 @@
 
         asyncio.run(run())
 
-    def test_each_store_fault_ends_in_a_claim_or_a_refusal(self):
+    def test_each_store_fault_ends_in_claimed_or_unavailable(self):
         async def run():
             async with fleet("a") as f:
                 faults = f.store.faults
                 faults.lost_replies = 1
-                self.assertEqual(CLAIMED, await f.claim("a", f.key_written_by("a")))
+                self.assertEqual(CLAIMED, await f.claim("a", f.new_key_written_by("a")))
                 faults.lost_requests = 1
                 key = IdempotencyKey.parse(f"{int(time.time())}-lost")
                 self.assertEqual(CLAIMED, await f.claim("a", key))
@@ -278,7 +283,7 @@
 
         asyncio.run(run())
 
-    def test_messages_with_foreign_fields_are_refused(self):
+    def test_messages_with_invalid_fields_are_rejected(self):
         async def run():
             async with fleet("a", "b") as f:
                 key_hash = b"\x07" + b"\0" * 15
--- a/borageworks/claims/tests/test_values.py
+++ b/borageworks/claims/tests/test_values.py
@@ -1,4 +1,4 @@
-"""Tests of keys, segments, placement and retained responses."""
+"""Tests of keys, segments, sharding and retained responses."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 from borageworks.claims.answers import HeldAnswers
 from borageworks.claims.key import IdempotencyKey
 from borageworks.claims.record import ClaimRecord
-from borageworks.claims.retained import OVERHEAD_BYTES, RetainedAnswer
+from borageworks.claims.retained import RESPONSE_OVERHEAD_BYTES, RetainedAnswer
 from borageworks.claims.segment import Segment
-from borageworks.claims.writer import shard_of, shard_writer
+from borageworks.claims.sharding import shard_of, shard_writer
 from borageworks.config.settings import ClaimSettings
 from borageworks.exceptions import (
     ClaimSegmentMalformedError,
@@ -28,15 +28,15 @@
 
 
 class IdempotencyKeyTest(testtools.TestCase):
-    """Guards against keys whose age cannot be told."""
+    """Guards against keys whose age cannot be determined."""
 
-    def test_both_forms_give_the_issue_time(self):
+    def test_both_formats_contain_the_issue_time(self):
         text = str(UUID(int=(int(NOW * 1000) << 80) | (7 << 76) | (2 << 62) | 5))
         self.assertEqual(NOW, IdempotencyKey.parse(text).issued)
         self.assertEqual(IdempotencyKey.parse(text), IdempotencyKey.parse(text.upper()))
         self.assertEqual(NOW, IdempotencyKey.parse("1700000000-order-7").issued)
 
-    def test_other_forms_are_malformed(self):
+    def test_other_formats_are_malformed(self):
         for text in (
             "",
             "order-7",
@@ -52,16 +52,16 @@
             with ExpectedException(IdempotencyKeyMalformedError):
                 IdempotencyKey.parse(text)
 
-    def test_the_window_is_shortened_by_the_clock_difference(self):
+    def test_the_window_is_reduced_by_the_clock_difference(self):
         for age, accepted in ((3540, True), (3541, False), (-60, True), (-61, False)):
             key = IdempotencyKey.parse(f"{int(NOW) - age}-a")
             if accepted:
-                key.check(NOW, SETTINGS)
+                key.check_window(NOW, SETTINGS)
             else:
                 with ExpectedException(IdempotencyKeyExpiredError):
-                    key.check(NOW, SETTINGS)
+                    key.check_window(NOW, SETTINGS)
 
-    def test_organisations_do_not_share_keys(self):
+    def test_equal_keys_of_two_organisations_differ(self):
         key = IdempotencyKey.parse("1-a")
         self.assertNotEqual(key.hash("x"), key.hash("y"))
 
@@ -77,29 +77,29 @@
 
 
 class SegmentTest(testtools.TestCase):
-    """Guards against claims that are lost or altered in the store."""
+    """Guards against claims that are lost or altered by the segment codec."""
 
     @settings(derandomize=True, deadline=None)
     @given(
         st.lists(records, max_size=30, unique_by=lambda r: r.key_hash), st.booleans()
     )
-    def test_a_segment_survives_its_codec_and_its_size_is_known(self, found, sealed):
-        segment = Segment(1.5, 2.5, {r.key_hash: r for r in found}, sealed)
+    def test_a_segment_round_trips_and_its_size_is_exact(self, stored, sealed):
+        segment = Segment(1.5, 2.5, {r.key_hash: r for r in stored}, sealed)
         data = segment.encode()
         self.assertEqual(segment, Segment.decode(data))
-        self.assertEqual(len(data), segment.size_with({}))
+        self.assertEqual(len(data), segment.encoded_size_with({}))
 
-    def test_cut_or_foreign_data_is_refused(self):
+    def test_truncated_or_unknown_data_is_rejected(self):
         record = ClaimRecord(b"k" * 16, b"b" * 8, "a~1", 1, ClaimState.CLAIMED)
         data = Segment(1.0, 1.0, {record.key_hash: record}).encode()
-        cuts = [data[:end] for end in range(len(data))]
-        for broken in [*cuts, data + b"\0", b"\x09" + data[1:]]:
+        truncated = [data[:end] for end in range(len(data))]
+        for malformed in [*truncated, data + b"\0", b"\x09" + data[1:]]:
             with ExpectedException(ClaimSegmentMalformedError):
-                Segment.decode(broken)
+                Segment.decode(malformed)
 
 
-class PlacementTest(testtools.TestCase):
-    """Guards against shards that all move when one instance leaves."""
+class ShardingTest(testtools.TestCase):
+    """Guards against needless shard moves when an instance leaves."""
 
     def test_only_the_shards_of_a_leaving_instance_move(self):
         members = [f"i{number}" for number in range(9)]
@@ -113,24 +113,24 @@
 
 
 class HeldAnswersTest(testtools.TestCase):
-    """Guards against unbounded memory and against forgetting a running request."""
+    """Guards against unbounded memory use and lost track of running requests."""
 
-    def test_the_least_recently_used_response_goes_first(self):
-        answers = HeldAnswers(2 * OVERHEAD_BYTES + 200)
+    def test_the_least_recently_used_response_is_evicted_first(self):
+        responses = HeldAnswers(2 * RESPONSE_OVERHEAD_BYTES + 200)
         for key in (b"a", b"b"):
-            answers.start(key)
-            answers.hold(key, RetainedAnswer(200, "", b"x" * 100))
-        answers.find(b"a")
-        answers.hold(b"c", RetainedAnswer(200, "", b"x" * 100))
-        found = [answers.find(key)[0] for key in (b"a", b"b", b"c")]
+            responses.start(key)
+            responses.hold(key, RetainedAnswer(200, "", b"x" * 100))
+        responses.find(b"a")
+        responses.hold(b"c", RetainedAnswer(200, "", b"x" * 100))
+        found = [responses.find(key)[0] for key in (b"a", b"b", b"c")]
         self.assertEqual([HeldAnswer.HELD, HeldAnswer.GONE, HeldAnswer.HELD], found)
-        answers.hold(b"d", RetainedAnswer(200, "", b"x" * 5000))
-        self.assertEqual(HeldAnswer.GONE, answers.find(b"d")[0])
-        self.assertEqual(2 * OVERHEAD_BYTES + 200, answers.size)
+        responses.hold(b"d", RetainedAnswer(200, "", b"x" * 5000))
+        self.assertEqual(HeldAnswer.GONE, responses.find(b"d")[0])
+        self.assertEqual(2 * RESPONSE_OVERHEAD_BYTES + 200, responses.size_bytes)
 
     def test_a_running_request_is_known_until_it_ends(self):
-        answers = HeldAnswers(0)
-        answers.start(b"a")
-        self.assertEqual((HeldAnswer.RUNNING, None), answers.find(b"a"))
-        answers.discard(b"a")
-        self.assertEqual((HeldAnswer.GONE, None), answers.find(b"a"))
+        responses = HeldAnswers(0)
+        responses.start(b"a")
+        self.assertEqual((HeldAnswer.RUNNING, None), responses.find(b"a"))
+        responses.discard(b"a")
+        self.assertEqual((HeldAnswer.GONE, None), responses.find(b"a"))
--- a/borageworks/claims/moment.py
+++ b/borageworks/claims/timestamp.py
@@ -6,17 +6,17 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Moment:
+class Timestamp:
     """Time of an event.
 
     Parameters
     ----------
-    now
-        Monotonic seconds, for intervals.
-    wall
+    monotonic
+        Monotonic time in seconds, for intervals.
+    unix_time
         Unix time in seconds, for ages of keys and segments. Clocks of two instances
         may differ by the configured clock difference.
     """
 
-    now: float
-    wall: float
+    monotonic: float
+    unix_time: float
