--- a/borageworks/commands/demo.py
+++ b/borageworks/commands/demo.py
@@ -1,4 +1,4 @@
-"""`borageworks demo`: three routers, both kinds of endpoints and a flood."""
+"""`borageworks demo`: an in-process fleet in which one organisation floods."""
 
 from __future__ import annotations
 
@@ -28,14 +28,15 @@
 from borageworks_emulator.store import EmulatedStore
 from borageworks_emulator.topology import PATITSA, AnyEndpoint, Topology
 
-ROUTERS = 3
+ROUTER_COUNT = 3
 SEED = 1
-READY_LIMIT_S = 20.0
-# A router owns endpoints once its membership is confirmed by another one, which a ready
-# router may still wait for.
+READY_TIMEOUT_S = 20.0
+# A router owns no endpoints until another instance has confirmed its membership, and
+# that may happen after it reports ready.
 SETTLE_S = 3.0
-FLOODER = "org-3"
-# All parts share one event loop, so the load stays well below what one core can do.
+FLOODING_ORG = "org-3"
+# Routers, endpoints, store and load generator share one event loop, so the load stays
+# well below the capacity of one core.
 DEMO = replace(
     PATITSA, name="demo", domains=("domain-a", "domain-b"), engines=2, services=2
 )
@@ -58,7 +59,7 @@
 def demo(json_file: Path | None, duration: float) -> None:
     """Show how three routers share emulated endpoints while one organisation floods."""
     result = run_loop(_run(duration))
-    _show_end(result)
+    _show_summary(result)
     if json_file is not None and str(json_file) == "-":
         click.echo(result.json())
     elif json_file is not None:
@@ -86,7 +87,11 @@
                 )
             )
     slots = topology.slots(topology.engine_pool)
-    for name, workers in (("org-0", slots), ("org-1", slots), (FLOODER, 4 * slots)):
+    for name, workers in (
+        ("org-0", slots),
+        ("org-1", slots),
+        (FLOODING_ORG, 4 * slots),
+    ):
         flows.append(Flow(name, topology.model, topology.engine_pool, workers=workers))
     return flows
 
@@ -100,14 +105,16 @@
         for endpoint in endpoints:
             await endpoint.start()
             stack.push_async_callback(endpoint.stop)
-        settings = router_settings(DEMO, ROUTERS, store.url)
-        routers = [Router(one) for one in settings]
+        settings = router_settings(DEMO, ROUTER_COUNT, store.url)
+        routers = [Router(router_config) for router_config in settings]
         for router in routers:
             await router.start()
             stack.push_async_callback(router.stop)
-        _say(f"{ROUTERS} routers in {len(DEMO.domains)} failure domains started")
+        _print_to_stderr(
+            f"{ROUTER_COUNT} routers in {len(DEMO.domains)} failure domains started"
+        )
         await _apply_ticket(settings[0], DEMO.ticket(endpoints))
-        return await _load(settings, endpoints, store, duration)
+        return await _run_load(settings, endpoints, store, duration)
 
 
 async def _apply_ticket(settings: Settings, ticket: Ticket) -> None:
@@ -118,24 +125,24 @@
         await store.close()
 
 
-async def _load(
+async def _run_load(
     settings: list[Settings],
     endpoints: list[AnyEndpoint],
     store: EmulatedStore,
     duration: float,
 ) -> Result:
-    urls = [_url(one) for one in settings]
+    urls = [_url(router_config) for router_config in settings]
     generator = LoadGenerator(Trace(_flows(DEMO), SEED, duration), Balancer(urls))
     async with aiohttp.ClientSession() as session:
         for url in urls:
-            await wait_ready(session, url, READY_LIMIT_S)
+            await wait_ready(session, url, READY_TIMEOUT_S)
         await asyncio.sleep(SETTLE_S)
-        _say(
+        _print_to_stderr(
             f"ticket 1 in effect: {len(DEMO.shares)} organisations, "
-            f"{len(endpoints)} endpoints; {FLOODER} floods for {duration:g} s"
+            f"{len(endpoints)} endpoints; {FLOODING_ORG} floods for {duration:g} s"
         )
-        before = await _control_bytes(session, urls)
-        calls = store.calls.total()
+        bytes_before = await _control_bytes(session, urls)
+        calls_before = store.calls.total()
         progress = asyncio.create_task(_show_progress(generator, endpoints))
         try:
             load = await generator.run()
@@ -143,54 +150,56 @@
             progress.cancel()
             with suppress(asyncio.CancelledError):
                 await progress
-        span = time.monotonic() - load.began
-        store_calls = (store.calls.total() - calls) / span
-        control = (await _control_bytes(session, urls) - before) / span / len(urls)
+        elapsed_s = time.monotonic() - load.began
+        store_calls = (store.calls.total() - calls_before) / elapsed_s
+        control = (
+            (await _control_bytes(session, urls) - bytes_before) / elapsed_s / len(urls)
+        )
     recordings = [endpoint.recording for endpoint in endpoints]
     measures = analyse(recordings, load.calls, DEMO.shares, load.until)
-    result = Result("demo", DEMO.name, SEED, ROUTERS, duration, measures)
+    result = Result("demo", DEMO.name, SEED, ROUTER_COUNT, duration, measures)
     result.control_bytes_per_second = control
     result.store_calls_per_second = store_calls
     return result
 
 
 async def _control_bytes(session: aiohttp.ClientSession, urls: list[str]) -> float:
-    found = [control_bytes(await read_metrics(session, url)) for url in urls]
-    return sum(value for value in found if value is not None)
+    totals = [control_bytes(await read_metrics(session, url)) for url in urls]
+    return sum(value for value in totals if value is not None)
 
 
 async def _show_progress(
     generator: LoadGenerator, endpoints: list[AnyEndpoint]
 ) -> None:
-    began = time.monotonic()
+    started_at = time.monotonic()
     while True:
         await asyncio.sleep(1.0)
         calls = generator.result.calls
         answered = sum(1 for call in calls if call.verdict is Verdict.ANSWERED)
         running = sum(endpoint.running for endpoint in endpoints)
-        _say(
-            f"{time.monotonic() - began:5.1f} s  answered {answered}, "
+        _print_to_stderr(
+            f"{time.monotonic() - started_at:5.1f} s  answered {answered}, "
             f"running {running}, open {sum(1 for call in calls if not call.end)}"
         )
 
 
-def _show_end(result: Result) -> None:
+def _show_summary(result: Result) -> None:
     measures = result.measures
-    _say("")
+    _print_to_stderr("")
     for line in organisation_lines(measures, None, DEMO.shares):
-        _say(line)
-    _say("")
+        _print_to_stderr(line)
+    _print_to_stderr("")
     for pool in sorted(measures.fairness_gap):
         gap = measures.gap_detail[pool]
         between = f" between {gap.first} and {gap.second}" if gap.first else ""
-        _say(
+        _print_to_stderr(
             f"{pool}: fairness gap {gap.units:.4g} units per share{between}, "
             f"utilisation {measures.utilisation[pool]:.3f} while requests waited"
         )
-    _say(
+    _print_to_stderr(
         f"control traffic {result.control_bytes_per_second:.0f} bytes/s per router; "
-        f"{measures.answers} right answers, {measures.wrong} wrong, "
-        f"{measures.incomplete} incomplete, {measures.doubled} doubled"
+        f"{measures.answers} correct responses, {measures.wrong} wrong, "
+        f"{measures.incomplete} incomplete, {measures.doubled} executed more than once"
     )
 
 
@@ -199,5 +208,5 @@
     return f"http://{host}:{port}"
 
 
-def _say(text: str) -> None:
+def _print_to_stderr(text: str) -> None:
     click.echo(text, err=True)
--- a/borageworks/commands/exits.py
+++ b/borageworks/commands/exit_codes.py
@@ -1,4 +1,4 @@
-"""Exit codes of the commands, and the report of errors."""
+"""Exit codes of the commands, and reporting of errors."""
 
 from __future__ import annotations
 
@@ -17,22 +17,22 @@
 )
 
 
-class Exit(IntEnum):
+class ExitCode(IntEnum):
     """Exit codes; 0 is success."""
 
     FAILED = 1
     INVALID = 2
     CONFLICT = 3
-    UNKNOWN = 4
+    OUTCOME_UNKNOWN = 4
 
 
-def fail(error: BorageworksError, source: str = "") -> NoReturn:
-    """Write an error to standard error, one reason a line, and exit.
+def exit_with_error(error: BorageworksError, source: str = "") -> NoReturn:
+    """Write an error to standard error, one reason per line, and exit.
 
     Parameters
     ----------
     error
-        What went wrong.
+        Error to report; its type selects the exit code.
     source
         Name of the file that the reasons refer to.
     """
@@ -41,12 +41,12 @@
         case SettingsInvalidError() | TicketInvalidError():
             for reason in error.reasons:
                 click.echo(f"{prefix}{reason}", err=True)
-            sys.exit(Exit.INVALID)
+            sys.exit(ExitCode.INVALID)
         case TicketConflictError():
-            code = Exit.CONFLICT
+            code = ExitCode.CONFLICT
         case StoreOutcomeUnknownError():
-            code = Exit.UNKNOWN
+            code = ExitCode.OUTCOME_UNKNOWN
         case _:
-            code = Exit.FAILED
+            code = ExitCode.FAILED
     click.echo(f"{prefix}{error.code}: {error}", err=True)
     sys.exit(code)
--- a/borageworks/commands/explain.py
+++ b/borageworks/commands/explain.py
@@ -1,4 +1,4 @@
-"""`borageworks explain`: the story of one request from the logs of all instances."""
+"""`borageworks explain`: events of one request, from the logs of all instances."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 
 import click
 
-from borageworks.commands.exits import Exit
-from borageworks.commands.story import Story, read_entries
+from borageworks.commands.exit_codes import ExitCode
+from borageworks.commands.timeline import RequestTimeline, read_entries
 
 
 def _lines(paths: tuple[Path, ...]) -> Iterator[bytes]:
@@ -20,8 +20,8 @@
         files = sorted(path.rglob("*")) if path.is_dir() else [path]
         for file in files:
             if file.is_file():
-                with file.open("rb") as opened:
-                    yield from opened
+                with file.open("rb") as log_file:
+                    yield from log_file
 
 
 @click.command()
@@ -30,17 +30,17 @@
     "paths", nargs=-1, type=click.Path(exists=True, readable=True, path_type=Path)
 )
 def explain(request_id: str, paths: tuple[Path, ...]) -> None:
-    """Print what became of REQUEST_ID, in order.
+    """Print the events of REQUEST_ID in chronological order.
 
     PATHS are log files or directories of all instances; without any, standard input is
-    read. Lines that are no log events are counted and left out.
+    read. Lines that are not log events are skipped and counted.
     """
     entries, skipped = read_entries(_lines(paths))
-    story = Story(request_id, entries)
-    for line in story.lines():
+    timeline = RequestTimeline(request_id, entries)
+    for line in timeline.lines():
         click.echo(line)
     if skipped:
-        click.echo(f"{skipped} lines are no log events", err=True)
-    if not story.found:
-        click.echo(f"no event names request {request_id!r}", err=True)
-        sys.exit(Exit.FAILED)
+        click.echo(f"skipped {skipped} lines that are not log events", err=True)
+    if not timeline.found:
+        click.echo(f"no log event found for request {request_id!r}", err=True)
+        sys.exit(ExitCode.FAILED)
--- a/borageworks/commands/loop.py
+++ b/borageworks/commands/loop.py
@@ -11,6 +11,6 @@
 
 
 def run_loop(main: Coroutine[Any, Any, Result]) -> Result:
-    """Run a coroutine to its end on uvloop and return its result."""
+    """Run a coroutine to completion on uvloop and return its result."""
     result: Result = uvloop.run(main)
     return result
--- a/borageworks/commands/measure.py
+++ b/borageworks/commands/measure.py
@@ -17,7 +17,7 @@
 from borageworks_emulator.slopes import measure_slopes, render
 from borageworks_emulator.topology import PATITSA, TOPOLOGIES
 
-EXIT_MISSED = 1
+EXIT_TARGET_MISSED = 1
 SLOPES = "slopes"
 
 
@@ -30,7 +30,7 @@
     default=1,
     show_default=True,
     type=click.IntRange(1, 100),
-    help="Run so many seeds, and hold the median gap against the baseline too.",
+    help="Number of consecutive seeds; the median gap is compared to the baseline too.",
 )
 @click.option("--routers", default=9, show_default=True, type=click.IntRange(1, 100))
 @click.option(
@@ -38,7 +38,7 @@
     default=20.0,
     show_default=True,
     type=click.FloatRange(2.0, 3600.0),
-    help="Seconds of load, for the fleet and again for the central queue.",
+    help="Seconds of load on the fleet, and again on the central queue.",
 )
 @click.option(
     "--topology",
@@ -55,7 +55,7 @@
 @click.option(
     "--directory",
     type=click.Path(file_okay=False, path_type=Path),
-    help="Keep settings files and output of the routers here.",
+    help="Directory for settings files and output of the routers.",
 )
 def measure(
     name: str | None,
@@ -72,22 +72,24 @@
     if list_names:
         for scenario in SCENARIOS.values():
             click.echo(f"{scenario.name:18}{scenario.description}")
-        click.echo(f"{SLOPES:18}cost of each part at four sizes and more")
+        click.echo(f"{SLOPES:18}cost of each component at four or more sizes")
         return
     if name is None:
-        raise click.UsageError("name a scenario or use --list")
+        raise click.UsageError("give a scenario or --list")
     if name == SLOPES:
         _show_slopes(seed, json_file)
         return
-    found = []
-    for number in range(seed, seed + repeat):
-        options = Options(TOPOLOGIES[topology], number, routers, duration, directory)
-        found.append(run_loop(_run(name, options)))
-        click.echo(found[-1].table(options.topology.shares) + "\n", err=bool(json_file))
-    checks = median_checks(SCENARIOS[name], found) if repeat > 1 else []
+    results = []
+    for run_seed in range(seed, seed + repeat):
+        options = Options(TOPOLOGIES[topology], run_seed, routers, duration, directory)
+        results.append(run_loop(_run(name, options)))
+        click.echo(
+            results[-1].table(options.topology.shares) + "\n", err=bool(json_file)
+        )
+    checks = median_checks(SCENARIOS[name], results) if repeat > 1 else []
     for check in checks:
         click.echo(check.line(), err=bool(json_file))
-    documents = [result.document() for result in found]
+    documents = [result.document() for result in results]
     encoded = orjson.dumps(
         documents if repeat > 1 else documents[0], option=orjson.OPT_INDENT_2
     )
@@ -95,8 +97,10 @@
         click.echo(encoded)
     elif json_file is not None:
         json_file.write_bytes(encoded)
-    if not all([*(one.passed for one in found), *(one.passed for one in checks)]):
-        sys.exit(EXIT_MISSED)
+    if not all(
+        [*(result.passed for result in results), *(check.passed for check in checks)]
+    ):
+        sys.exit(EXIT_TARGET_MISSED)
 
 
 def _show_slopes(seed: int, json_file: Path | None) -> None:
@@ -113,7 +117,7 @@
 
 
 async def _run(name: str, options: Options) -> Result:
-    """Run a scenario; SIGTERM cancels it, so that started routers are ended."""
+    """Run a scenario; SIGTERM cancels it, so that started routers are stopped."""
     task = asyncio.ensure_future(run_scenario(SCENARIOS[name], options))
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
     return await task
--- a/borageworks/commands/run.py
+++ b/borageworks/commands/run.py
@@ -10,22 +10,22 @@
 import click
 import eliot
 
-from borageworks.commands.form import SettingsForm, settings_form
 from borageworks.commands.loop import run_loop
+from borageworks.commands.settings_format import SettingsFormat, detect_format
 from borageworks.config.loader import load_settings
 from borageworks.config.settings import Settings
 from borageworks.exceptions import SettingsInvalidError
 from borageworks.platform.main import run as run_gateway
 from borageworks.router.router import Router
 
-EXIT_SETTINGS = 2
+EXIT_SETTINGS_INVALID = 2
 
 
 async def _serve(settings: Settings) -> None:
     stop = asyncio.Event()
     loop = asyncio.get_running_loop()
-    for number in (signal.SIGTERM, signal.SIGINT):
-        loop.add_signal_handler(number, stop.set)
+    for signal_number in (signal.SIGTERM, signal.SIGINT):
+        loop.add_signal_handler(signal_number, stop.set)
     router = Router(settings)
     await router.start()
     host, port = router.address
@@ -39,10 +39,10 @@
 def run(path: Path) -> None:
     """Run one instance with the settings in PATH until SIGTERM.
 
-    A JSON file runs a router with the project's own interface, a file of the platform's
-    form the gateway.
+    A JSON file starts a router with the project's own interface; a file in the
+    platform's format starts the gateway.
     """
-    if settings_form(path) is SettingsForm.PLATFORM:
+    if detect_format(path) is SettingsFormat.PLATFORM:
         run_gateway(path)
         return
     try:
@@ -50,7 +50,7 @@
     except SettingsInvalidError as error:
         for reason in error.reasons:
             click.echo(f"{path}: {reason}", err=True)
-        sys.exit(EXIT_SETTINGS)
+        sys.exit(EXIT_SETTINGS_INVALID)
     if settings.log_file is not None:
         eliot.to_file(open(settings.log_file, "ab"))  # noqa: SIM115
     else:
--- a/borageworks/commands/soak.py
+++ b/borageworks/commands/soak.py
@@ -1,4 +1,4 @@
-"""`borageworks soak`: gateway processes under series of random faults."""
+"""`borageworks soak`: gateway processes under random faults."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 import click
 import orjson
 
-from borageworks.commands.exits import Exit
+from borageworks.commands.exit_codes import ExitCode
 from borageworks.commands.loop import run_loop
 from borageworks_emulator.soak.regressions import REGRESSIONS
 from borageworks_emulator.soak.report import SoakReport
@@ -20,34 +20,34 @@
 from borageworks_emulator.soak.soak import Soak
 
 SECONDS_PER_MINUTE = 60.0
-HIGHEST_SEED = 1_000_000
+SEED_LIMIT = 1_000_000
 
 
 @click.command()
-@click.option("--seed", type=int, help="Seed; a fresh one without it.")
+@click.option("--seed", type=int, help="Seed of the faults; random if omitted.")
 @click.option(
     "--minutes",
     default=0.5,
     show_default=True,
     type=click.FloatRange(0.05, 240.0),
-    help="Length of the part with faults, for each seed.",
+    help="Minutes during which faults are injected, for each seed.",
 )
 @click.option(
     "--seeds",
     default=1,
     show_default=True,
     type=click.IntRange(1, 10_000),
-    help="Run so many seeds, one after the other.",
+    help="Number of consecutive seeds to run.",
 )
 @click.option("--gateways", default=5, show_default=True, type=click.IntRange(1, 100))
 @click.option("--engines", default=3, show_default=True, type=click.IntRange(1, 100))
 @click.option(
-    "--regressions", is_flag=True, help="Run the soaks that failed once instead."
+    "--regressions", is_flag=True, help="Run the seeds that failed in the past instead."
 )
 @click.option(
     "--directory",
     type=click.Path(file_okay=False, path_type=Path),
-    help="Keep settings, output of the gateways and reports here.",
+    help="Directory for settings, output of the gateways and reports.",
 )
 def soak(
     seed: int | None,
@@ -58,20 +58,22 @@
     regressions: bool,
     directory: Path | None,
 ) -> None:
-    """Run gateways under random faults; exit with 1 if a promise is broken."""
-    first = random.randrange(HIGHEST_SEED) if seed is None else seed
-    failed = []
+    """Run gateways under random faults; exit with 1 if a guarantee is violated."""
+    first_seed = random.randrange(SEED_LIMIT) if seed is None else seed
+    failed_seeds = []
     with tempfile.TemporaryDirectory() as temporary:
-        place = directory or Path(temporary)
+        base_directory = directory or Path(temporary)
         if regressions:
             soaks = [
-                _settings(place, one.seed, one.minutes, one.gateways, engines)
-                for one in REGRESSIONS
+                _settings(
+                    base_directory, past.seed, past.minutes, past.gateways, engines
+                )
+                for past in REGRESSIONS
             ]
         else:
             soaks = [
-                _settings(place, number, minutes, gateways, engines)
-                for number in range(first, first + seeds)
+                _settings(base_directory, run_seed, minutes, gateways, engines)
+                for run_seed in range(first_seed, first_seed + seeds)
             ]
         for settings in soaks:
             settings.directory.mkdir(parents=True, exist_ok=True)
@@ -81,26 +83,26 @@
             for line in report.lines():
                 click.echo(line)
             if not report.passed:
-                failed.append(settings.seed)
-    if failed:
-        click.echo(f"failed seeds: {', '.join(map(str, failed))}", err=True)
-        sys.exit(Exit.FAILED)
+                failed_seeds.append(settings.seed)
+    if failed_seeds:
+        click.echo(f"failed seeds: {', '.join(map(str, failed_seeds))}", err=True)
+        sys.exit(ExitCode.FAILED)
 
 
 def _settings(
-    place: Path, seed: int, minutes: float, gateways: int, engines: int
+    base_directory: Path, seed: int, minutes: float, gateways: int, engines: int
 ) -> SoakSettings:
     return SoakSettings(
         seed=seed,
         duration_s=minutes * SECONDS_PER_MINUTE,
-        directory=place / str(seed),
+        directory=base_directory / str(seed),
         gateways=gateways,
         engines=engines,
     )
 
 
 async def _run(settings: SoakSettings) -> SoakReport:
-    """Run a soak; SIGTERM cancels it, so that started processes are ended."""
+    """Run a soak; SIGTERM cancels it, so that started processes are stopped."""
     task = asyncio.ensure_future(Soak(settings).run())
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
     return await task
--- a/borageworks/commands/status.py
+++ b/borageworks/commands/status.py
@@ -1,4 +1,4 @@
-"""`borageworks status`: prints what a router reports about itself."""
+"""`borageworks status`: prints the status of a router."""
 
 from __future__ import annotations
 
@@ -11,14 +11,16 @@
 from borageworks.commands.loop import run_loop
 from borageworks.commands.table import render_table
 
-TIMEOUT_S = 5.0
+REQUEST_TIMEOUT_S = 5.0
 DEFAULT_URL = "http://127.0.0.1:8080"
 
 Json = Mapping[str, object] | Sequence[object] | str | float | bool | None
 
 
 @click.command()
-@click.option("--url", default=DEFAULT_URL, show_default=True, help="Router to ask.")
+@click.option(
+    "--url", default=DEFAULT_URL, show_default=True, help="URL of the router."
+)
 def status(url: str) -> None:
     """Print the status of a router as tables."""
     try:
@@ -30,7 +32,7 @@
 
 
 async def _fetch(url: str) -> Json:
-    timeout = aiohttp.ClientTimeout(total=TIMEOUT_S)
+    timeout = aiohttp.ClientTimeout(total=REQUEST_TIMEOUT_S)
     async with (
         aiohttp.ClientSession(timeout=timeout) as session,
         session.get(url) as response,
@@ -41,15 +43,15 @@
 
 
 def _tables(title: str, value: Json) -> Iterator[str]:
-    """Yield one table for the plain values of an object and one for each other."""
+    """Yield one table of an object's scalar values and one for each nested value."""
     if not isinstance(value, Mapping):
         yield from _list_table(title, value if isinstance(value, list) else [value])
         return
-    plain = {
+    scalars = {
         name: item for name, item in value.items() if not isinstance(item, dict | list)
     }
-    if plain:
-        rows = [(name, _text(item)) for name, item in plain.items()]
+    if scalars:
+        rows = [(name, _text(item)) for name, item in scalars.items()]
         yield render_table((title or "status", ""), rows)
     for name, item in value.items():
         if isinstance(item, dict | list) and item:
--- a/borageworks/commands/table.py
+++ b/borageworks/commands/table.py
@@ -6,7 +6,7 @@
 
 
 def render_table(header: Sequence[str], rows: Sequence[Sequence[object]]) -> str:
-    """Return aligned columns, with numbers on the right."""
+    """Return aligned columns; numeric columns are right-aligned."""
     cells = [[str(cell) for cell in row] for row in rows]
     widths = [max(map(len, column)) for column in zip(header, *cells, strict=True)]
     numeric = [
@@ -15,8 +15,8 @@
     ]
     lines = [
         "  ".join(
-            text.rjust(width) if right else text.ljust(width)
-            for text, width, right in zip(line, widths, numeric, strict=True)
+            text.rjust(width) if right_aligned else text.ljust(width)
+            for text, width, right_aligned in zip(line, widths, numeric, strict=True)
         ).rstrip()
         for line in [list(header), *cells]
     ]
--- a/borageworks/commands/tests/test_commands.py
+++ b/borageworks/commands/tests/test_commands.py
@@ -1,4 +1,4 @@
-"""Tests of the command line: exit codes, and what goes to which stream."""
+"""Tests of the commands: exit codes and output streams."""
 
 import threading
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
@@ -13,7 +13,7 @@
 from borageworks.catalog import tickets
 from borageworks.catalog.tests.fakes import FakeStore
 from borageworks.commands import ticket as ticket_module
-from borageworks.commands.exits import Exit
+from borageworks.commands.exit_codes import ExitCode
 from borageworks.config.tests.examples import VALID
 from borageworks_emulator.platform.harness import settings_text
 
@@ -53,23 +53,23 @@
         self.assertEqual(code, result.exit_code, result.output)
         return result
 
-    def test_check_reads_the_platforms_settings_too(self):
-        """Guards against a start that fails with settings that were checked."""
-        good = self.directory / "settings.conf"
-        good.write_text(settings_text(("10.0.0.9", 8781), [1, 2, 3, 4]))
-        self.run_cli("check", str(good))
-        bad = self.directory / "bad.conf"
-        bad.write_text("node_name=a\nplatform.address=nowhere\n")
+    def test_check_accepts_platform_settings(self):
+        """Guards against settings that `check` accepts and `run` rejects."""
+        valid = self.directory / "settings.conf"
+        valid.write_text(settings_text(("10.0.0.9", 8781), [1, 2, 3, 4]))
+        self.run_cli("check", str(valid))
+        invalid = self.directory / "invalid.conf"
+        invalid.write_text("node_name=a\nplatform.address=nowhere\n")
         for command in ("check", "run"):
-            result = self.run_cli(command, str(bad), code=2)
+            result = self.run_cli(command, str(invalid), code=2)
             self.assertIn("platform.address", result.stderr)
             self.assertIn("listen", result.stderr)
 
     def test_check(self):
-        """Guards against scripts that take broken settings for correct ones."""
+        """Guards against an exit code that reports invalid settings as valid."""
         self.run_cli("check", self.settings)
-        broken = self.write("broken.json", {**VALID, "domian": 1, "peer": 1})
-        result = self.run_cli("check", broken, code=2)
+        invalid = self.write("broken.json", {**VALID, "domian": 1, "peer": 1})
+        result = self.run_cli("check", invalid, code=2)
         self.assertEqual("", result.stdout)
         lines = result.stderr.splitlines()
         self.assertEqual(2, len(lines))
@@ -82,7 +82,7 @@
         self.assertIn("membership", schema["properties"])
 
     def test_ticket_apply_and_show(self):
-        """Guards against a change that is reported wrongly or shown stale."""
+        """Guards against a wrong report of a change, and against stale output."""
         path = self.write("ticket.json", TICKET)
         apply = ("ticket", "apply", path, "--settings", self.settings)
         self.assertEqual("ticket 3 accepted, revision 2\n", self.run_cli(*apply).stdout)
@@ -93,12 +93,12 @@
         self.assertIn("accepted tickets  1", self.run_cli(*show).stdout)
         listing = self.run_cli(*show, "organisation").stdout.split()
         self.assertEqual(["organisation", "ticket", "a", "3"], listing)
-        found = orjson.loads(self.run_cli(*show, "organisation", "a").stdout)
-        self.assertEqual((3, 2.0), (found["ticket"], found["put"]["share"]))
-        self.run_cli(*show, "organisation", "b", code=Exit.FAILED)
+        stored = orjson.loads(self.run_cli(*show, "organisation", "a").stdout)
+        self.assertEqual((3, 2.0), (stored["ticket"], stored["put"]["share"]))
+        self.run_cli(*show, "organisation", "b", code=ExitCode.FAILED)
         self.assertEqual(6, self.store.calls["close"])
 
-    def test_ticket_errors_have_their_own_exit_codes(self):
+    def test_ticket_errors_have_distinct_exit_codes(self):
         """Guards against scripts that cannot tell a conflict from an outage."""
 
         def apply(document, code, *options):
@@ -107,11 +107,13 @@
             return self.run_cli(*arguments, *options, code=code).stderr
 
         apply(TICKET, 0)
-        self.assertIn("$.numbr", apply({"numbr": 3}, Exit.INVALID))
-        self.assertIn("ticket_conflict", apply({**TICKET, "number": 2}, Exit.CONFLICT))
+        self.assertIn("$.numbr", apply({"numbr": 3}, ExitCode.INVALID))
+        self.assertIn(
+            "ticket_conflict", apply({**TICKET, "number": 2}, ExitCode.CONFLICT)
+        )
         service = {"kind": "service", "id": "s", "pool": "q"}
-        found = apply({"number": 4, "put": [service]}, Exit.INVALID)
-        self.assertIn("names missing pool 'q'", found)
+        stderr = apply({"number": 4, "put": [service]}, ExitCode.INVALID)
+        self.assertIn("names missing pool 'q'", stderr)
         endpoint: dict[str, object] = {
             "kind": "endpoint",
             "id": "e",
@@ -120,15 +122,15 @@
         }
         endpoint |= {"host": "127.0.0.1", "port": 9}
         change = {"number": 4, "put": [endpoint]}
-        self.assertIn("domain 'd9'", apply(change, Exit.INVALID, "--domain", "d1"))
+        self.assertIn("domain 'd9'", apply(change, ExitCode.INVALID, "--domain", "d1"))
         self.store.lost_replies = ["before"] * 99
         self.patch(tickets, "RACE_PAUSE_S", 0.0)
-        self.assertIn("store_outcome_unknown", apply(change, Exit.UNKNOWN))
+        self.assertIn("store_outcome_unknown", apply(change, ExitCode.OUTCOME_UNKNOWN))
         self.store.down = True
-        self.assertIn("store_unavailable", apply(change, Exit.FAILED))
+        self.assertIn("store_unavailable", apply(change, ExitCode.FAILED))
 
     def test_status(self):
-        """Guards against a status table that hides values or fails on new ones."""
+        """Guards against a status table that hides values or fails on unknown ones."""
         document = {
             "instance": "i1",
             "ready": True,
@@ -150,7 +152,7 @@
             self.assertIn(expected, lines)
 
     def test_status_failures(self):
-        """Guards against a traceback when the router is gone or answers nonsense."""
+        """Guards against a traceback if the router is down or its response invalid."""
         for url in (
             self.serve(503, b"{}"),
             self.serve(200, b"nonsense"),
--- a/borageworks/commands/ticket.py
+++ b/borageworks/commands/ticket.py
@@ -1,4 +1,4 @@
-"""`borageworks ticket`: applies change tickets and shows the configuration."""
+"""`borageworks ticket`: applies tickets and shows the configuration."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from borageworks.catalog.keys import CATALOG_PREFIX, CatalogKeys
 from borageworks.catalog.state import StoredState, read_state
 from borageworks.catalog.tickets import apply_ticket
-from borageworks.commands.exits import Exit, fail
+from borageworks.commands.exit_codes import ExitCode, exit_with_error
 from borageworks.commands.loop import run_loop
 from borageworks.commands.table import render_table
 from borageworks.config.loader import load_settings, load_ticket
@@ -30,14 +30,14 @@
     "settings_path",
     required=True,
     type=click.Path(dir_okay=False, path_type=Path),
-    help="Settings of an instance; its store is used.",
+    help="Settings file of an instance, whose store is used.",
 )
 KINDS = ("organisation", "pool", "service", "endpoint")
 
 
 @click.group()
 def ticket() -> None:
-    """Change the configuration of the fleet, and read it."""
+    """Change and show the configuration of the fleet."""
 
 
 @ticket.command()
@@ -47,14 +47,14 @@
     "--domain",
     "domains",
     multiple=True,
-    help="Failure domain that endpoints may name; repeat it. Any, if not given.",
+    help="Failure domain that endpoints may use; repeatable. Any domain if omitted.",
 )
 def apply(file: BinaryIO, settings_path: Path, domains: tuple[str, ...]) -> None:
     """Apply the ticket in FILE ("-" reads standard input).
 
     Applying the same ticket again reports the same result.
     """
-    settings = _settings(settings_path)
+    settings = _load_settings_or_exit(settings_path)
     try:
         change = load_ticket(file.read())
         result = run_loop(
@@ -66,7 +66,7 @@
             )
         )
     except BorageworksError as error:
-        fail(error, file.name)
+        exit_with_error(error, file.name)
     verb = "was accepted before" if result.replayed else "accepted"
     click.echo(f"ticket {result.number} {verb}, revision {result.revision}")
 
@@ -77,7 +77,7 @@
 @SETTINGS_OPTION
 def show(kind: str | None, object_id: str | None, settings_path: Path) -> None:
     """Show the counts of the configuration, the objects of a KIND, or one object."""
-    settings = _settings(settings_path)
+    settings = _load_settings_or_exit(settings_path)
     try:
         state = run_loop(
             _with_store(
@@ -86,33 +86,33 @@
             )
         )
     except BorageworksError as error:
-        fail(error)
+        exit_with_error(error)
     if kind is None:
-        click.echo(_summary(state))
+        click.echo(_summary_table(state))
     elif object_id is None:
-        click.echo(_listing(state, kind))
+        click.echo(_object_table(state, kind))
     else:
         _show_object(state, kind, object_id)
 
 
-def _settings(path: Path) -> Settings:
+def _load_settings_or_exit(path: Path) -> Settings:
     try:
         return load_settings(path)
     except BorageworksError as error:
-        fail(error, str(path))
+        exit_with_error(error, str(path))
 
 
 async def _with_store(
-    settings: Settings, work: Callable[[Store], Awaitable[Result]]
+    settings: Settings, operation: Callable[[Store], Awaitable[Result]]
 ) -> Result:
     store = EtcdStore(settings.store, Metrics())
     try:
-        return await work(store)
+        return await operation(store)
     finally:
         await store.close()
 
 
-def _summary(state: StoredState) -> str:
+def _summary_table(state: StoredState) -> str:
     live = Counter(item.kind for item in state.objects() if item.value is not None)
     deleted = sum(item.value is None for item in state.objects())
     rows: list[tuple[str, int]] = [(kind, live[kind]) for kind in KINDS]
@@ -124,7 +124,7 @@
     return render_table(("configuration", ""), rows)
 
 
-def _listing(state: StoredState, kind: str) -> str:
+def _object_table(state: StoredState, kind: str) -> str:
     rows = sorted(
         (item.id, item.ticket)
         for item in state.objects()
@@ -139,5 +139,5 @@
             text = orjson.dumps(item.record(), option=orjson.OPT_INDENT_2)
             click.echo(text.decode())
             return
-    click.echo(f"there is no {kind} {object_id!r}", err=True)
-    raise SystemExit(Exit.FAILED)
+    click.echo(f"no {kind} {object_id!r} in the configuration", err=True)
+    raise SystemExit(ExitCode.FAILED)
--- a/borageworks/commands/story.py
+++ b/borageworks/commands/timeline.py
@@ -1,4 +1,4 @@
-"""Finds the events that tell what became of one request."""
+"""Selects the log events of one request and those that may explain its outcome."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 
 from borageworks.events import Event
 
-# Events before and after a request that may explain it, in seconds.
+# Events within this time before or after a request may explain its outcome.
 CONTEXT_S = 5.0
-_OWN_FIELDS = frozenset(
+_OMITTED_FIELDS = frozenset(
     ("timestamp", "instance", "event", "message_type", "request_id")
 )
-# Events that concern every request of an instance.
-_GENERAL = frozenset(
+# Events that may affect every request of an instance.
+_INSTANCE_WIDE_EVENTS = frozenset(
     event.number
     for event in (
         Event.INSTANCE_STARTED,
@@ -44,16 +44,16 @@
 
 
 def read_entries(lines: Iterable[bytes]) -> tuple[list[LogEntry], int]:
-    """Return the events of log lines in order of time, and the number of other lines.
+    """Return the events of log lines in chronological order, and the number of others.
 
-    A line may have a prefix that its collector has added.
+    A log collector may have added a prefix to each line.
     """
     entries: list[LogEntry] = []
     skipped = 0
     for line in lines:
         if not line.strip():
             continue
-        entry = _entry(line[line.find(b"{") :])
+        entry = _parse_entry(line[line.find(b"{") :])
         if entry is None:
             skipped += 1
         else:
@@ -62,7 +62,7 @@
     return entries, skipped
 
 
-def _entry(line: bytes) -> LogEntry | None:
+def _parse_entry(line: bytes) -> LogEntry | None:
     try:
         fields = orjson.loads(line)
         return LogEntry(
@@ -76,55 +76,60 @@
         return None
 
 
-class Story:
-    """The events of one request, with those that may explain it.
+class RequestTimeline:
+    """The events of one request, with those that may explain its outcome.
 
     Parameters
     ----------
     request_id
         Request to explain.
     entries
-        Events of all instances in order of time.
+        Events of all instances in chronological order.
     """
 
     def __init__(self, request_id: str, entries: list[LogEntry]) -> None:
-        self._own = [
+        self._matches = [
             entry for entry in entries if entry.fields.get("request_id") == request_id
         ]
         self._entries = entries
 
     @property
     def found(self) -> bool:
-        """Whether any event names the request."""
-        return bool(self._own)
+        """Whether any event has the request's id."""
+        return bool(self._matches)
 
     def lines(self) -> Iterator[str]:
-        """Yield the story, one event a line; `*` marks the request's own events."""
-        if not self._own:
+        """Yield one line per event; `*` marks the events of the request itself."""
+        if not self._matches:
             return
-        first = self._own[0].timestamp - self._own[0].fields.get("taken_s", 0.0)
-        last = self._own[-1].timestamp
-        instances = {entry.instance for entry in self._own}
-        instances |= {str(entry.fields.get("placed_by", "")) for entry in self._own}
-        endpoints = {entry.fields.get("endpoint") for entry in self._own} - {"", None}
+        first = self._matches[0].timestamp - self._matches[0].fields.get("taken_s", 0.0)
+        last = self._matches[-1].timestamp
+        instances = {entry.instance for entry in self._matches}
+        instances |= {str(entry.fields.get("placed_by", "")) for entry in self._matches}
+        endpoints = {entry.fields.get("endpoint") for entry in self._matches} - {
+            "",
+            None,
+        }
         for entry in self._entries:
             if not first - CONTEXT_S <= entry.timestamp <= last + CONTEXT_S:
                 continue
-            own = entry in self._own
-            general = entry.event in _GENERAL and entry.instance in instances
-            about = (
+            of_request = entry in self._matches
+            instance_wide = (
+                entry.event in _INSTANCE_WIDE_EVENTS and entry.instance in instances
+            )
+            of_endpoint = (
                 entry.fields.get("endpoint") in endpoints
                 and "request_id" not in entry.fields
             )
-            if own or general or about:
-                yield _line(entry, entry.timestamp - first, own)
+            if of_request or instance_wide or of_endpoint:
+                yield _format_entry(entry, entry.timestamp - first, of_request)
 
 
-def _line(entry: LogEntry, after_s: float, own: bool) -> str:
+def _format_entry(entry: LogEntry, offset_s: float, of_request: bool) -> str:
     details = " ".join(
         f"{name}={value}"
         for name, value in entry.fields.items()
-        if name not in _OWN_FIELDS and value not in ("", None)
+        if name not in _OMITTED_FIELDS and value not in ("", None)
     )
-    mark = "*" if own else " "
-    return f"{mark} {after_s:+9.3f} s  {entry.instance}  {entry.name}  {details}"
+    marker = "*" if of_request else " "
+    return f"{marker} {offset_s:+9.3f} s  {entry.instance}  {entry.name}  {details}"
