--- a/borageworks/config/json_errors.py
+++ b/borageworks/config/json_errors.py
@@ -1,4 +1,4 @@
-"""Turns validation errors into one line each with a JSON path."""
+"""Formats each validation error as one line with its JSON path."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 from pydantic import BaseModel, ValidationError
 from pydantic_core import ErrorDetails
 
-UNKNOWN_KEY = "extra_forbidden"
-CUSTOM_ERROR = "value_error"
+UNKNOWN_KEY_TYPE = "extra_forbidden"
+VALIDATOR_ERROR_TYPE = "value_error"
 
 Model = TypeVar("Model", bound=BaseModel)
 
 
 class JsonInvalidError(ValueError):
-    """JSON text does not match a model; `reasons` lists each fault."""
+    """JSON text does not match a model; `reasons` lists each error."""
 
     def __init__(self, reasons: tuple[str, ...]) -> None:
         super().__init__("; ".join(reasons))
@@ -27,14 +27,14 @@
 
 
 def parse(model: type[Model], data: bytes) -> Model:
-    """Return the model that JSON text describes.
+    """Return the model instance that JSON text describes.
 
     Types are matched strictly: a number in quotes is an error, not a number.
 
     Raises
     ------
     JsonInvalidError
-        With every fault, each as ``<JSON path>: <message>``; malformed JSON with its
+        With every error, each as ``<JSON path>: <message>``; malformed JSON with its
         line and column.
     """
     try:
@@ -52,15 +52,15 @@
 
 
 def _describe(model: type[BaseModel], detail: ErrorDetails) -> str:
-    path, known = _locate(model, detail["loc"])
+    path, sibling_keys = _locate(model, detail["loc"])
     message = detail["msg"]
-    if detail["type"] == UNKNOWN_KEY:
+    if detail["type"] == UNKNOWN_KEY_TYPE:
         name = str(detail["loc"][-1])
-        nearest = difflib.get_close_matches(name, known, n=1)
+        nearest = difflib.get_close_matches(name, sibling_keys, n=1)
         message = "unknown key"
         if nearest:
             message += f"; did you mean {nearest[0]!r}?"
-    elif detail["type"] == CUSTOM_ERROR:
+    elif detail["type"] == VALIDATOR_ERROR_TYPE:
         message = message.removeprefix("Value error, ")
     return f"{path}: {message}"
 
@@ -68,49 +68,51 @@
 def _locate(
     model: type[BaseModel], location: tuple[int | str, ...]
 ) -> tuple[str, Collection[str]]:
-    """Return the JSON path of an error and the key names known beside its last key.
+    """Return the JSON path of an error and the keys valid beside its last key.
 
-    The location of an error inside a tagged union also holds the tag, which is no part
-    of the document, so the walk follows the types.
+    The location of an error inside a tagged union also contains the tag, which is not a
+    key of the document, so the types are followed along the location.
     """
     path = "$"
-    known: Collection[str] = ()
+    sibling_keys: Collection[str] = ()
     current: Any = model
     for step in location:
-        current = _without_wrappers(current)
+        current = _unwrap_annotation(current)
         if isinstance(step, int):
             path += f"[{step}]"
             current = _item_type(current)
         elif isinstance(current, type) and issubclass(current, BaseModel):
             path += f".{step}"
-            known = current.model_fields
+            sibling_keys = current.model_fields
             item = current.model_fields.get(step)
             current = None if item is None else item.annotation
         else:
-            current = _tagged(current, step)
-    return path, known
+            current = _union_member(current, step)
+    return path, sibling_keys
 
 
-def _without_wrappers(kind: Any) -> Any:
+def _unwrap_annotation(annotation: Any) -> Any:
     while True:
-        origin = typing.get_origin(kind)
+        origin = typing.get_origin(annotation)
         if origin is Annotated:
-            kind = typing.get_args(kind)[0]
+            annotation = typing.get_args(annotation)[0]
         elif origin in (Union, types.UnionType):
-            members = [item for item in typing.get_args(kind) if item is not type(None)]
+            members = [
+                item for item in typing.get_args(annotation) if item is not type(None)
+            ]
             if len(members) != 1:
-                return kind
-            kind = members[0]
+                return annotation
+            annotation = members[0]
         else:
-            return kind
+            return annotation
 
 
-def _item_type(kind: Any) -> Any:
-    arguments = typing.get_args(kind)
+def _item_type(annotation: Any) -> Any:
+    arguments = typing.get_args(annotation)
     return arguments[0] if arguments else None
 
 
-def _tagged(union: Any, tag: str) -> Any:
+def _union_member(union: Any, tag: str) -> Any:
     for member in typing.get_args(union):
         if isinstance(member, type) and issubclass(member, BaseModel):
             item = member.model_fields.get("kind")
--- a/borageworks/config/loader.py
+++ b/borageworks/config/loader.py
@@ -1,4 +1,4 @@
-"""Reads settings and tickets and reports every fault at once."""
+"""Reads settings and tickets and reports all errors at once."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     Raises
     ------
     SettingsInvalidError
-        With every fault of the file, each with its JSON path.
+        With every error in the file, each with its JSON path.
     """
     try:
         data = Path(path).read_bytes()
@@ -40,7 +40,7 @@
     Raises
     ------
     TicketInvalidError
-        With every fault of the text, each with its JSON path. References between
+        With every error in the text, each with its JSON path. References between
         objects are checked later, by `borageworks.catalog.plan.plan_ticket`.
     """
     try:
--- a/borageworks/config/reference.py
+++ b/borageworks/config/reference.py
@@ -1,7 +1,7 @@
 """Generates the reference pages in docs/ from the code.
 
-Run `python -m borageworks.config.reference docs` after a change of settings, events or
-errors. Texts that explain a row stand in the page and are kept.
+Run `python -m borageworks.config.reference docs` after a change to settings, events or
+errors. Explanations in a row are written in the page itself and are kept.
 """
 
 from __future__ import annotations
@@ -14,12 +14,12 @@
 
 import orjson
 
-from borageworks.config.pages import Row, rewrite
+from borageworks.config.pages import Row, replace_table
 from borageworks.config.schema import settings_schema
 from borageworks.events import Event
 from borageworks.exceptions import RefusalError, error_types
 
-LIMITS = {
+LIMIT_TEXTS = {
     "minimum": "at least {}",
     "exclusiveMinimum": "above {}",
     "maximum": "at most {}",
@@ -28,19 +28,19 @@
     "maxItems": "at most {} items",
     "pattern": "`{}`",
 }
-REQUIRED = "required"
+REQUIRED_TEXT = "required"
 
 
 def setting_rows() -> list[Row]:
     """Return key, type, default and limits of each setting."""
     schema = settings_schema()
-    return list(_settings(schema, schema["$defs"], ""))
+    return list(_setting_rows(schema, schema["$defs"], ""))
 
 
 def setting_texts() -> list[Row]:
-    """Return key and description of each setting that the model describes."""
+    """Return key and description of each setting whose model has a description."""
     schema = settings_schema()
-    return list(_descriptions(schema, schema["$defs"], ""))
+    return list(_setting_texts(schema, schema["$defs"], ""))
 
 
 def event_rows() -> list[Row]:
@@ -49,7 +49,7 @@
 
 
 def error_rows() -> list[Row]:
-    """Return code and HTTP status of each error; "-" where callers never see it."""
+    """Return code and HTTP status of each error; "-" if it is never sent to callers."""
     return [
         (error.code, str(error.status) if issubclass(error, RefusalError) else "-")
         for error in error_types()
@@ -66,8 +66,8 @@
     texts: Callable[[], list[Row]] = list
 
     def render(self, page: str) -> str:
-        """Return the page with its table generated anew."""
-        return rewrite(page, self.header, self.rows(), self.texts())
+        """Return the page with its table regenerated."""
+        return replace_table(page, self.header, self.rows(), self.texts())
 
 
 PAGES = (
@@ -83,7 +83,7 @@
 
 
 def write_pages(directory: Path) -> None:
-    """Generate every page in a directory anew."""
+    """Regenerate every page in a directory."""
     for page in PAGES:
         path = directory / page.name
         path.write_text(page.render(path.read_text()))
@@ -92,7 +92,7 @@
 def _properties(
     schema: Mapping[str, Any], definitions: Mapping[str, Any], prefix: str
 ) -> Iterator[tuple[str, Mapping[str, Any], Mapping[str, Any] | None, bool]]:
-    """Yield path, schema, schema of the nested section and need of each key."""
+    """Yield path, schema, nested schema and whether it is required, for each key."""
     for name, item in schema["properties"].items():
         path = f"{prefix}{name}"
         target = item
@@ -105,45 +105,47 @@
         yield path, item, nested, name in schema.get("required", ())
 
 
-def _settings(
+def _setting_rows(
     schema: Mapping[str, Any], definitions: Mapping[str, Any], prefix: str
 ) -> Iterator[Row]:
     for path, item, nested, required in _properties(schema, definitions, prefix):
         if nested is not None:
-            yield from _settings(nested, definitions, f"{path}.")
+            yield from _setting_rows(nested, definitions, f"{path}.")
             continue
-        default = REQUIRED if required else _json(item.get("default"))
-        yield f"`{path}`", _type(item), default, _limits(item)
+        default = REQUIRED_TEXT if required else _default_text(item.get("default"))
+        yield f"`{path}`", _type_text(item), default, _limits_text(item)
 
 
-def _descriptions(
+def _setting_texts(
     schema: Mapping[str, Any], definitions: Mapping[str, Any], prefix: str
 ) -> Iterator[Row]:
     for path, item, nested, _ in _properties(schema, definitions, prefix):
         if nested is not None:
-            yield from _descriptions(nested, definitions, f"{path}.")
+            yield from _setting_texts(nested, definitions, f"{path}.")
         elif "description" in item:
             yield f"`{path}`", item["description"]
 
 
-def _type(item: Mapping[str, Any]) -> str:
+def _type_text(item: Mapping[str, Any]) -> str:
     if "anyOf" in item:
-        return " or ".join(_type(option) for option in item["anyOf"])
+        return " or ".join(_type_text(option) for option in item["anyOf"])
     if item.get("format") == "ipvanyaddress":
         return "IP address"
     if item["type"] == "array":
-        return f"list of {_type(item['items'])}"
+        return f"list of {_type_text(item['items'])}"
     return str(item["type"])
 
 
-def _limits(item: Mapping[str, Any]) -> str:
-    limits = [text.format(item[name]) for name, text in LIMITS.items() if name in item]
+def _limits_text(item: Mapping[str, Any]) -> str:
+    limits = [
+        text.format(item[name]) for name, text in LIMIT_TEXTS.items() if name in item
+    ]
     if item.get("type") == "array":
-        limits.append(_limits(item["items"]))
+        limits.append(_limits_text(item["items"]))
     return ", ".join(limit for limit in limits if limit)
 
 
-def _json(value: object) -> str:
+def _default_text(value: object) -> str:
     return f"`{orjson.dumps(value).decode()}`"
 
 
--- a/borageworks/config/settings.py
+++ b/borageworks/config/settings.py
@@ -24,14 +24,14 @@
 
 
 class Address(_Section):
-    """An IP address and port."""
+    """IP address and port."""
 
     host: IPvAnyAddress
-    port: int = Field(ge=0, le=65535, description="0 takes a free port")
+    port: int = Field(ge=0, le=65535, description="0 selects a free port")
 
     @property
     def pair(self) -> tuple[str, int]:
-        """Address in the form that sockets take."""
+        """Host and port as the socket API expects them."""
         return str(self.host), self.port
 
 
@@ -52,15 +52,19 @@
     suspicion_s: float = Field(default=2.0, gt=0, le=60)
     indirect_probes: int = Field(default=2, ge=0, le=8)
     pause_limit_s: float = Field(
-        default=3.0, gt=0, description="longest pause after which ownership is kept"
+        default=3.0,
+        gt=0,
+        description="maximum process pause after which ownership is kept",
     )
     keys: tuple[SecretHex, ...] = Field(
-        min_length=1, max_length=2, description="first signs, all verify"
+        min_length=1,
+        max_length=2,
+        description="the first key signs messages; every key verifies them",
     )
 
 
 class FairSettings(_Section):
-    """Order of waiting requests."""
+    """Fair queueing of waiting requests."""
 
     exchange_interval_s: float = Field(default=4.0, gt=0, le=60)
     correction_gain: float = Field(default=0.3, gt=0, le=1)
@@ -71,14 +75,14 @@
         default=0.25,
         gt=0,
         le=1,
-        description="largest correction as a part of one interval's service",
+        description="maximum correction as a fraction of one interval's service",
     )
     prompt_token_units: float = Field(default=0.1, gt=0)
     generated_token_units: float = Field(default=1.0, gt=0)
 
 
 class WindowSettings(_Section):
-    """Places per endpoint."""
+    """Window of concurrent requests per endpoint."""
 
     token_interval_target_s: float = Field(default=0.058, gt=0)
     first_token_target_s: float = Field(default=1.9, gt=0)
@@ -87,7 +91,7 @@
 
 
 class QueueSettings(_Section):
-    """Bounds of the queues of one instance."""
+    """Limits of the queues of one instance."""
 
     per_organisation: int = Field(default=1000, ge=1)
     total: int = Field(default=10_000, ge=1)
@@ -96,7 +100,7 @@
 
 
 class RetrySettings(_Section):
-    """Retry budgets."""
+    """Retry attempts and retry budget."""
 
     attempts: int = Field(default=3, ge=1, le=10)
     ratio: float = Field(default=0.1, ge=0, le=1)
@@ -139,7 +143,7 @@
     claims: ClaimSettings = ClaimSettings()
     shutdown: ShutdownSettings = ShutdownSettings()
     log_file: str | None = Field(
-        default=None, description="JSON lines; None writes to standard error"
+        default=None, description="file for JSON lines; None writes to standard error"
     )
 
     @property
@@ -151,7 +155,7 @@
         )
 
     @model_validator(mode="after")
-    def _claims_outlast_clock_difference(self) -> Settings:
+    def _check_claim_window(self) -> Settings:
         if self.claims.window_s <= 2 * self.claims.clock_difference_s:
             raise ValueError(
                 "claims.window_s must be over twice claims.clock_difference_s"
--- a/borageworks/config/tests/examples.py
+++ b/borageworks/config/tests/examples.py
@@ -1,4 +1,4 @@
-"""Correct settings."""
+"""Valid settings."""
 
 from typing import Any
 
--- a/borageworks/config/tests/test_loader.py
+++ b/borageworks/config/tests/test_loader.py
@@ -17,8 +17,8 @@
 from borageworks.exceptions import SettingsInvalidError, TicketInvalidError
 
 
-def reasons(document):
-    """Return the reasons against settings, () if they are valid."""
+def settings_errors(document):
+    """Return the errors of settings, () if they are valid."""
     data = document if isinstance(document, bytes) else orjson.dumps(document)
     try:
         parse_settings(data)
@@ -29,7 +29,7 @@
 
 class LoadSettingsTest(testtools.TestCase):
     def test_valid_file(self):
-        """Guards against a loader that refuses or alters correct settings."""
+        """Guards against a loader that rejects or alters valid settings."""
         directory = tempfile.TemporaryDirectory()
         self.addCleanup(directory.cleanup)
         path = Path(directory.name) / "settings.json"
@@ -38,14 +38,14 @@
         self.assertEqual(("127.0.0.1", 0), loaded.membership.seeds[0].pair)
         self.assertEqual(0.3, loaded.fair.correction_gain)
 
-    def test_every_fault_with_its_path_and_the_nearest_key(self):
-        """Guards against faults found one at a time or without their place."""
-        broken = copy.deepcopy(VALID)
-        broken["membership"] = {"seeds": [{"host": "localhost", "prt": 1}], "keys": []}
-        broken["domian"] = broken.pop("domain")
-        broken["store"] = {"url": "http://127.0.0.1:2379", "timeout_s": "2"}
-        broken["claims"] = {"window_s": 100}
-        broken["zzz"] = 1
+    def test_every_error_has_its_path_and_the_nearest_key(self):
+        """Guards against errors reported one at a time or without their location."""
+        invalid = copy.deepcopy(VALID)
+        invalid["membership"] = {"seeds": [{"host": "localhost", "prt": 1}], "keys": []}
+        invalid["domian"] = invalid.pop("domain")
+        invalid["store"] = {"url": "http://127.0.0.1:2379", "timeout_s": "2"}
+        invalid["claims"] = {"window_s": 100}
+        invalid["zzz"] = 1
         self.assertEqual(
             {
                 "$.domain: Field required",
@@ -58,33 +58,33 @@
                 "$.membership.seeds[0].port: Field required",
                 "$.membership.seeds[0].prt: unknown key; did you mean 'port'?",
             },
-            set(reasons(broken)),
+            set(settings_errors(invalid)),
         )
 
-    def test_faults_across_sections(self):
-        """Guards against a claim window that the clock difference uses up."""
-        found = reasons({**VALID, "claims": {"window_s": 100}})
+    def test_constraint_across_sections(self):
+        """Guards against a claim window too short for the clock difference."""
+        messages = settings_errors({**VALID, "claims": {"window_s": 100}})
         expected = "$: claims.window_s must be over twice claims.clock_difference_s"
-        self.assertEqual((expected,), found)
+        self.assertEqual((expected,), messages)
 
     def test_malformed_json_has_line_and_column(self):
-        """Guards against a syntax error that the operator has to search for."""
-        (found,) = reasons(b'{\n  "instance": "i1",\n  "domain" "d1"\n}')
-        self.assertThat(found, StartsWith("$: line 3, column 12: "))
+        """Guards against a syntax error reported without its position."""
+        (message,) = settings_errors(b'{\n  "instance": "i1",\n  "domain" "d1"\n}')
+        self.assertThat(message, StartsWith("$: line 3, column 12: "))
 
     def test_unreadable_file(self):
         """Guards against an untyped error for a missing file."""
         error = self.assertRaises(SettingsInvalidError, load_settings, "/nowhere.json")
         self.assertIn("cannot read /nowhere.json", str(error))
 
-    def test_keys_of_membership_are_not_repeated_in_errors(self):
-        """Guards against a secret that ends up in a log."""
+    def test_membership_keys_do_not_appear_in_errors(self):
+        """Guards against a secret written to a log."""
         secret = "SECRET" * 6
-        broken = {**VALID, "membership": {"keys": [secret]}}
-        self.assertNotIn("SECRET", str(reasons(broken)))
+        invalid = {**VALID, "membership": {"keys": [secret]}}
+        self.assertNotIn("SECRET", str(settings_errors(invalid)))
 
-    def test_schema_names_every_section(self):
-        """Guards against a published schema that lags behind the model."""
+    def test_schema_has_every_section(self):
+        """Guards against a published schema that differs from the model."""
         schema = orjson.loads(render_schema())
         self.assertLessEqual(set(VALID), set(schema["properties"]))
         self.assertFalse(schema["additionalProperties"])
@@ -94,29 +94,29 @@
         st.binary(max_size=60)
         | st.recursive(
             st.none() | st.booleans() | st.integers(0, 9) | st.text(max_size=3),
-            lambda inner: (
-                st.lists(inner, max_size=3)
+            lambda children: (
+                st.lists(children, max_size=3)
                 | st.dictionaries(
                     st.sampled_from([*VALID, "put", "delete", "kind", "number"]),
-                    inner,
+                    children,
                     max_size=4,
                 )
             ),
         ).map(orjson.dumps)
     )
-    def test_generated_bytes_give_only_typed_errors(self, data):
+    def test_arbitrary_bytes_raise_only_typed_errors(self, data):
         """Guards against an untyped error for any file content."""
-        for load, kind in (
+        for load, error_type in (
             (parse_settings, SettingsInvalidError),
             (load_ticket, TicketInvalidError),
         ):
-            error: Any = self.assertRaises(kind, load, data)
+            error: Any = self.assertRaises(error_type, load, data)
             for reason in error.reasons:
                 self.assertThat(reason, StartsWith("$"))
 
 
 class LoadTicketTest(testtools.TestCase):
-    def test_paths_do_not_show_the_kind_of_an_object(self):
+    def test_paths_omit_the_tag_of_an_object(self):
         """Guards against paths that do not exist in the file."""
         ticket = {
             "number": 1,
