--- a/borageworks/events.py
+++ b/borageworks/events.py
@@ -1,4 +1,4 @@
-"""Numbered log events; docs/events.md lists each."""
+"""Numbered log events, documented in docs/events.md."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 class Event(Enum):
     """A log event: number and message type.
 
-    Numbers are grouped by part: 1xx process, 2xx configuration, 3xx membership,
+    Numbers are grouped by subject: 1xx process, 2xx configuration, 3xx membership,
     4xx requests, 5xx endpoints, 6xx claims and store, 7xx peers.
     """
 
--- a/borageworks/exceptions.py
+++ b/borageworks/exceptions.py
@@ -1,4 +1,4 @@
-"""Exceptions of the package; each has a stable code listed in docs/errors.md."""
+"""Exceptions of the package; each has a stable code, listed in docs/errors.md."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Ran(StrEnum):
-    """Whether a request that ended in an error was run by an endpoint."""
+    """Whether an endpoint ran a request that ended in an error."""
 
     NOT_RUN = "not_run"
     RAN = "ran"
@@ -15,7 +15,7 @@
 
 
 class BorageworksError(Exception):
-    """Base of all errors of this package."""
+    """Base class of all errors of this package."""
 
     code: ClassVar[str] = "internal_error"
 
@@ -59,7 +59,7 @@
 
 
 class StoreCompactedError(BorageworksError):
-    """A watch starts at a revision that the platform store no longer holds."""
+    """A watch starts at a revision that the platform store has compacted."""
 
     code = "store_compacted"
 
@@ -71,7 +71,7 @@
 
 
 class StoreReplyMalformedError(BorageworksError):
-    """The platform store answered with something outside its protocol."""
+    """A reply of the platform store violates its protocol."""
 
     code = "store_reply_malformed"
 
@@ -101,19 +101,19 @@
 
 
 class DeploymentMalformedError(BorageworksError):
-    """The operator's configuration cannot be read; the last good one stays."""
+    """The operator's configuration is invalid; the last valid one stays in effect."""
 
     code = "deployment_malformed"
 
 
 class EndpointEntryMalformedError(BorageworksError):
-    """An entry in the list of endpoints cannot be read; it names no endpoint."""
+    """An entry in the list of endpoints is invalid and is ignored."""
 
     code = "endpoint_entry_malformed"
 
 
 class EndpointFailedError(BorageworksError):
-    """Base of failures of one attempt at an endpoint."""
+    """Base class of failures of one attempt at an endpoint."""
 
     code = "endpoint_failed"
 
@@ -125,7 +125,7 @@
 
 
 class EndpointRefusedError(EndpointFailedError):
-    """The endpoint answered that it did not start the request."""
+    """The endpoint reported that it did not start the request."""
 
     code = "endpoint_refused"
 
@@ -137,55 +137,55 @@
 
 
 class EndpointTimeoutError(EndpointFailedError):
-    """The endpoint did not answer within the run timeout."""
+    """The endpoint did not respond within the run timeout."""
 
     code = "endpoint_timeout"
 
 
 class EndpointReplyMalformedError(EndpointFailedError):
-    """The endpoint's answer is outside its protocol."""
+    """The endpoint's response violates its protocol."""
 
     code = "endpoint_reply_malformed"
 
 
 class EndpointReplyCrossedError(EndpointFailedError):
-    """The endpoint's answer carries the id of another request."""
+    """The endpoint's response has the id of another request."""
 
     code = "endpoint_reply_crossed"
 
 
 class EndpointReplyIncompleteError(EndpointFailedError):
-    """The endpoint's answer ended before its end marker."""
+    """The endpoint's response ended before its end marker."""
 
     code = "endpoint_reply_incomplete"
 
 
 class PlacementSilentError(BorageworksError):
-    """The instance that places a service's requests did not react."""
+    """The instance that places a service's requests did not reply."""
 
     code = "placement_silent"
 
 
 class CallerFailedError(BorageworksError):
-    """Base of failures on the caller's connection."""
+    """Base class of failures on the caller's connection."""
 
     code = "caller_failed"
 
 
 class CallerDisconnectedError(CallerFailedError):
-    """The caller closed its connection before the answer was complete."""
+    """The caller closed its connection before the response was complete."""
 
     code = "caller_disconnected"
 
 
 class CallerStalledError(CallerFailedError):
-    """The caller stopped reading its answer."""
+    """The caller stopped reading the response."""
 
     code = "caller_stalled"
 
 
 class RefusalError(BorageworksError):
-    """Base of answers that turn a caller's request down."""
+    """Base class of error responses to a caller's request."""
 
     code = "refused"
     status: ClassVar[int] = 500
@@ -214,7 +214,7 @@
 
 
 class BodyTooLargeError(RefusalError):
-    """The request body is over the service's limit."""
+    """The request body exceeds the service's limit."""
 
     code = "body_too_large"
     status = 413
@@ -230,7 +230,7 @@
 
 
 class UnexpectedError(RefusalError):
-    """The router itself failed; its log has the reason."""
+    """The router failed unexpectedly; the reason is in its log."""
 
     code = "unexpected"
     status = 500
@@ -247,7 +247,7 @@
 
 
 class ServiceUnknownError(RefusalError):
-    """No such model or service."""
+    """The model or service does not exist."""
 
     code = "service_unknown"
     status = 404
@@ -263,7 +263,7 @@
 
 
 class RouteUnknownError(RefusalError):
-    """No such path."""
+    """The path does not exist."""
 
     code = "route_unknown"
     status = 404
@@ -303,7 +303,7 @@
 
 
 class RequestSuspectedError(RefusalError):
-    """The request crashed endpoints before and is not run again."""
+    """The request has crashed endpoints and is not run again."""
 
     code = "request_suspected"
     status = 422
@@ -311,7 +311,7 @@
 
 
 class CrashingRequestError(RefusalError):
-    """The request broke off at several endpoints and is not tried at another one."""
+    """The request's connection broke at several endpoints; it is not retried."""
 
     code = "crashing_request"
     status = 503
@@ -319,7 +319,7 @@
 
 
 class RetriesExhaustedError(RefusalError):
-    """All attempts failed or the retry budget is used up."""
+    """All attempts failed or the retry budget is exhausted."""
 
     code = "retries_exhausted"
     status = 502
@@ -327,7 +327,7 @@
 
 
 class OutcomeUnknownError(RefusalError):
-    """The request may have run, and its answer was lost."""
+    """The request may have run, and its response was lost."""
 
     code = "outcome_unknown"
     status = 504
@@ -344,7 +344,7 @@
 
 
 class IdempotencyKeyMalformedError(RefusalError):
-    """The Idempotency-Key carries no readable issue time."""
+    """The Idempotency-Key contains no valid issue time."""
 
     code = "idempotency_key_malformed"
     status = 400
@@ -368,7 +368,7 @@
 
 
 class IdempotencyKeyReleasedError(RefusalError):
-    """The first request with this Idempotency-Key did not run, and the key is used."""
+    """The first request with this Idempotency-Key did not run; the key is used up."""
 
     code = "idempotency_key_released"
     status = 409
@@ -376,7 +376,7 @@
 
 
 class RequestInProgressError(RefusalError):
-    """The first request with this Idempotency-Key still waits or runs."""
+    """The first request with this Idempotency-Key is still waiting or running."""
 
     code = "request_in_progress"
     status = 409
@@ -384,7 +384,7 @@
 
 
 class AnswerNotHeldError(RefusalError):
-    """The first request ran, and its answer is no longer held."""
+    """The first request ran, and its response is no longer stored."""
 
     code = "answer_not_held"
     status = 409
@@ -400,7 +400,7 @@
 
 
 class CapacityExceededError(RefusalError):
-    """No endpoint can answer in time; the caller may come back."""
+    """No endpoint can respond in time; the caller may retry later."""
 
     code = "capacity_exceeded"
     status = 503
@@ -408,7 +408,7 @@
 
 
 class EndpointsBusyError(RefusalError):
-    """The endpoint refused the request and it may be sent to no other one."""
+    """The endpoint refused the request, which may not be sent to another one."""
 
     code = "endpoints_busy"
     status = 503
@@ -433,7 +433,7 @@
 
 
 class AnswerTimeoutError(RefusalError):
-    """The time for the request has passed and it may be running."""
+    """The request's deadline has passed; it may still be running."""
 
     code = "answer_timeout"
     status = 504
@@ -442,7 +442,7 @@
 
 
 class InstanceLeavingError(RefusalError):
-    """The instance is about to end and could not finish the request."""
+    """The instance is shutting down and cannot finish the request."""
 
     code = "instance_leaving"
     status = 503
@@ -450,7 +450,7 @@
 
 
 class InstanceOverloadedError(RefusalError):
-    """The instance's processor is saturated; another instance has room."""
+    """The instance's CPU is saturated; another instance may accept the request."""
 
     code = "instance_overloaded"
     status = 503
--- a/borageworks/logs.py
+++ b/borageworks/logs.py
@@ -1,4 +1,4 @@
-"""Writes log events to a file descriptor without ever waiting for its reader."""
+"""Writes log events to a file descriptor without blocking on its reader."""
 
 from __future__ import annotations
 
@@ -13,13 +13,13 @@
 from borageworks.events import Event
 from borageworks.metrics import Metrics
 
-# A reader that pauses costs lines beyond this, not memory.
+# Bounds memory while the reader is paused; further lines are dropped.
 MAX_BUFFERED_LINES = 2000
-# About twice the lines of an instance at its usual load; bounds the cost of a storm.
-LINES_PER_S = 200.0
-BURST_LINES = 600.0
-# Further lines that only those about the process itself may use. Lines about single
-# requests come by the hundred when something is wrong and would crowd them out.
+# About twice the rate of an instance under usual load; bounds the cost of log floods.
+MAX_LINES_PER_S = 200.0
+MAX_BURST_LINES = 600.0
+# Token bucket capacity reserved for events about the process. During an incident,
+# hundreds of lines about single requests would otherwise displace them.
 RESERVED_LINES = 100.0
 REQUEST_EVENTS = frozenset(
     event.number
@@ -37,20 +37,20 @@
 
 
 class LogWriter:
-    """Destination of log messages that never waits.
+    """Log destination that never blocks.
 
-    Lines over the rate, or beyond the buffer, are dropped and counted, those about
-    single requests first; the next line that is written is preceded by one with their
-    number.
+    Lines over the rate limit or the buffer size are dropped and counted, those about
+    single requests first; the next line written is preceded by one with the number
+    dropped.
 
     Parameters
     ----------
     descriptor
         Open file descriptor, which becomes non-blocking.
     metrics
-        Counts lines by what became of them.
+        Counts dropped lines.
     instance
-        Name that each line bears.
+        Name of the instance, added to each line.
     """
 
     def __init__(self, descriptor: int, metrics: Metrics, instance: str) -> None:
@@ -58,7 +58,7 @@
         self._descriptor = descriptor
         self._metrics = metrics
         self._lines: deque[bytes] = deque()
-        self._tokens = BURST_LINES + RESERVED_LINES
+        self._tokens = MAX_BURST_LINES + RESERVED_LINES
         self._refilled_at = 0.0
         self._dropped = 0
         self._scheduled = False
@@ -72,17 +72,17 @@
         eliot.add_destinations(self.write)
 
     def stop(self) -> None:
-        """Write what the reader takes at once and stop."""
+        """Write what the descriptor accepts without blocking and stop."""
         self._flush()
         eliot.remove_destination(self.write)
 
     def write(self, message: dict[str, Any]) -> None:
-        """Take one message."""
+        """Buffer one message for writing, or drop and count it."""
         assert self._loop is not None
         now = self._loop.time()
         self._tokens = min(
-            self._tokens + (now - self._refilled_at) * LINES_PER_S,
-            BURST_LINES + RESERVED_LINES,
+            self._tokens + (now - self._refilled_at) * MAX_LINES_PER_S,
+            MAX_BURST_LINES + RESERVED_LINES,
         )
         self._refilled_at = now
         reserved = RESERVED_LINES if message.get("event") in REQUEST_EVENTS else 0.0
@@ -92,12 +92,12 @@
             return
         self._tokens -= 1.0
         if self._dropped:
-            number, name = Event.LOG_LINES_DROPPED.value
+            event_number, event_name = Event.LOG_LINES_DROPPED.value
             self._lines.append(
                 orjson.dumps(
                     {
-                        "message_type": f"borageworks:{name}",
-                        "event": number,
+                        "message_type": f"borageworks:{event_name}",
+                        "event": event_number,
                         "timestamp": message.get("timestamp"),
                         "instance": self._instance,
                         "lines": self._dropped,
@@ -129,7 +129,7 @@
                 self._loop.call_later(0.05, self._flush)
                 return
             except OSError:
-                # Nobody reads any more; the counter of the metrics tells it.
+                # The reader is gone; only the metrics can report the loss.
                 self._metrics.count("log_lines_dropped", amount=len(self._lines))
                 self._lines.clear()
                 return
--- a/borageworks/metrics.py
+++ b/borageworks/metrics.py
@@ -7,14 +7,14 @@
 
 from hdrh.histogram import HdrHistogram
 
-LOWEST_MICROSECONDS = 1
-HIGHEST_MICROSECONDS = 3_600_000_000
+MIN_DURATION_US = 1
+MAX_DURATION_US = 3_600_000_000
 SIGNIFICANT_DIGITS = 2
-QUANTILES = (50.0, 90.0, 95.0, 99.0, 99.9)
-MICROSECONDS_PER_SECOND = 1_000_000
+PERCENTILES = (50.0, 90.0, 95.0, 99.0, 99.9)
+US_PER_SECOND = 1_000_000
 
 
-# Names of labels where it is not the reason of what is counted.
+# Label name of each metric; the default is "reason".
 LABEL_NAMES = {
     "engine_report_age_s": "endpoint",
     "first_event": "route",
@@ -45,7 +45,7 @@
         self._counters[name, label] += amount
 
     def value(self, name: str, label: str = "") -> int:
-        """Return a counter's value, 0 if it never counted."""
+        """Return a counter's value, 0 if it was never incremented."""
         return self._counters[name, label]
 
     def gauge(self, name: str, value: float, label: str = "") -> None:
@@ -53,11 +53,11 @@
         self._gauges[name, label] = value
 
     def before_render(self, update: Callable[[], None]) -> None:
-        """Have gauges that change with time, as ages do, set before each rendering."""
+        """Call `update` before each rendering, to set gauges that vary with time."""
         self._before_render.append(update)
 
     def forget_gauges(self, name: str) -> None:
-        """Drop all values of a gauge, before its present ones are set."""
+        """Remove all values of a gauge, so that only current labels are set again."""
         for key in [key for key in self._gauges if key[0] == name]:
             del self._gauges[key]
 
@@ -66,21 +66,19 @@
         histogram = self._histograms.get((name, label))
         if histogram is None:
             histogram = HdrHistogram(
-                LOWEST_MICROSECONDS, HIGHEST_MICROSECONDS, SIGNIFICANT_DIGITS
+                MIN_DURATION_US, MAX_DURATION_US, SIGNIFICANT_DIGITS
             )
             self._histograms[name, label] = histogram
-        microseconds = int(seconds * MICROSECONDS_PER_SECOND)
-        histogram.record_value(
-            min(max(microseconds, LOWEST_MICROSECONDS), HIGHEST_MICROSECONDS)
-        )
+        duration_us = int(seconds * US_PER_SECOND)
+        histogram.record_value(min(max(duration_us, MIN_DURATION_US), MAX_DURATION_US))
 
     def quantile(self, name: str, percent: float, label: str = "") -> float:
-        """Return a histogram's quantile in seconds, 0.0 if nothing was recorded."""
+        """Return a histogram's percentile in seconds, 0.0 if nothing was recorded."""
         histogram = self._histograms.get((name, label))
         if histogram is None:
             return 0.0
         value = histogram.get_value_at_percentile(percent)
-        return float(value) / MICROSECONDS_PER_SECOND
+        return float(value) / US_PER_SECOND
 
     def render(self) -> str:
         """Return all metrics in the Prometheus text format."""
@@ -89,19 +87,19 @@
         lines: list[str] = []
         self._render_values(lines, "counter", self._counters, "_total")
         self._render_values(lines, "gauge", self._gauges, "")
-        previous = None
+        previous_name = None
         for (name, label), histogram in sorted(
             self._histograms.items(), key=lambda item: item[0]
         ):
-            if name != previous:
+            if name != previous_name:
                 lines.append(f"# TYPE borageworks_{name}_seconds summary")
-                previous = name
-            for percent in QUANTILES:
+                previous_name = name
+            for percent in PERCENTILES:
                 quantile = {"quantile": f"{percent / 100:g}"}
-                labels = _labels({**_label(name, label), **quantile})
+                labels = _format_labels({**_label_pair(name, label), **quantile})
                 value = self.quantile(name, percent, label)
                 lines.append(f"borageworks_{name}_seconds{labels} {value:.6f}")
-            labels = _labels(_label(name, label))
+            labels = _format_labels(_label_pair(name, label))
             count = histogram.get_total_count()
             lines.append(f"borageworks_{name}_seconds_count{labels} {count}")
         return "\n".join(lines) + "\n"
@@ -113,19 +111,19 @@
         values: Mapping[tuple[str, str], float],
         suffix: str,
     ) -> None:
-        previous = None
+        previous_name = None
         for (name, label), value in sorted(values.items()):
-            if name != previous:
+            if name != previous_name:
                 lines.append(f"# TYPE borageworks_{name}{suffix} {kind}")
-                previous = name
-            labels = _labels(_label(name, label))
+                previous_name = name
+            labels = _format_labels(_label_pair(name, label))
             lines.append(f"borageworks_{name}{suffix}{labels} {value!r}")
 
 
-def _label(name: str, label: str) -> dict[str, str]:
+def _label_pair(name: str, label: str) -> dict[str, str]:
     return {LABEL_NAMES.get(name, "reason"): label} if label else {}
 
 
-def _labels(labels: Mapping[str, str]) -> str:
+def _format_labels(labels: Mapping[str, str]) -> str:
     pairs = ",".join(f'{name}="{value}"' for name, value in labels.items())
     return f"{{{pairs}}}" if pairs else ""
--- a/borageworks/tests/test_embedding.py
+++ b/borageworks/tests/test_embedding.py
@@ -1,4 +1,4 @@
-"""Runs the program of docs/embedding.md."""
+"""Runs the example program of docs/embedding.md."""
 
 import contextlib
 import io
@@ -18,5 +18,5 @@
         output = io.StringIO()
         with contextlib.redirect_stdout(output):
             exec(match.group(1), {})
-        picked = output.getvalue().split()
-        self.assertEqual((6, 2), (picked.count("large"), picked.count("small")))
+        selected = output.getvalue().split()
+        self.assertEqual((6, 2), (selected.count("large"), selected.count("small")))
--- a/borageworks/tests/test_metrics.py
+++ b/borageworks/tests/test_metrics.py
@@ -1,4 +1,4 @@
-"""Tests of the metrics' text form."""
+"""Tests of the metrics' text format."""
 
 from testtools import TestCase
 
@@ -6,8 +6,8 @@
 
 
 class RenderTest(TestCase):
-    def test_labels_say_what_they_hold(self):
-        """Guards against figures of different kinds under one name."""
+    def test_label_names_match_their_values(self):
+        """Guards against label values of different kinds under one label name."""
         metrics = Metrics()
         metrics.count("refusals", "no_room")
         metrics.gauge("engine_report_age_s", 1.5, "e-1")
@@ -26,8 +26,8 @@
         slow = [line for line in lines if 'route="book",quantile="0.5"' in line]
         self.assertTrue(0.49 < float(slow[0].split()[1]) < 0.51)
 
-    def test_ages_are_those_of_the_moment(self):
-        """Guards against ages that stand still between events."""
+    def test_ages_are_updated_before_rendering(self):
+        """Guards against ages that change only when an event occurs."""
         metrics = Metrics()
         ages = iter((1.0, 2.0))
 
--- a/borageworks/timers.py
+++ b/borageworks/timers.py
@@ -1,4 +1,4 @@
-"""Timer service that the parts of one process subscribe to."""
+"""Timer service for the components of one process."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     loop
         Loop that runs the callback.
     callback
-        Called with the time in seconds.
+        Called with the monotonic time in seconds.
     interval
         Seconds between calls, or None for a single call.
     """
@@ -52,7 +52,7 @@
         if self._interval is None:
             self._cancelled = True
         else:
-            # Scheduled before the callback, so a raising callback is not lost.
+            # Rescheduled first, so that the timer continues if the callback raises.
             self.start(self._interval)
         self._callback(self._loop.time())
 
@@ -68,7 +68,7 @@
         return self._loop.time()
 
     def every(self, interval: float, callback: TimerCallback) -> Subscription:
-        """Call `callback(now)` each `interval` seconds until cancelled."""
+        """Call `callback(now)` every `interval` seconds until cancelled."""
         subscription = Subscription(self._loop, callback, interval)
         subscription.start(interval)
         return subscription
