--- a/borageworks_emulator/analysis.py
+++ b/borageworks_emulator/analysis.py
@@ -1,4 +1,4 @@
-"""Measures computed from what the endpoints recorded and the callers saw."""
+"""Computes the measures of a load run from endpoint recordings and call results."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 from itertools import combinations
 from math import ceil, floor, inf
 
-from borageworks_emulator.recording import BIN_S, Recording, Run, RunOutcome
+from borageworks_emulator.recording import BIN_WIDTH_S, Recording, Run, RunOutcome
 
-WASTED = (RunOutcome.CANCELLED, RunOutcome.CRASHED)
+WASTED_OUTCOMES = (RunOutcome.CANCELLED, RunOutcome.CRASHED)
 
 
 class Verdict(StrEnum):
@@ -26,10 +26,10 @@
 
 @dataclass(slots=True)
 class CallRecord:
-    """What one caller saw of one attempt; times are of the monotonic clock.
+    """One attempt as its caller saw it; times are seconds of the monotonic clock.
 
-    `tag` is the number of the request in its trace, `attempt` counts resends, `target`
-    is the index of the router and `request_id` its name for the attempt.
+    `tag` identifies the request in its trace, `attempt` counts resends, `target` is the
+    index of the router, and `request_id` is the id that the router gave the attempt.
     """
 
     tag: str
@@ -49,7 +49,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Gap:
-    """Largest difference of normalised service between two organisations."""
+    """Largest difference in normalised service between two organisations."""
 
     units: float = 0.0
     pool: str = ""
@@ -60,20 +60,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Excuse:
-    """Span in which the connections to one router broke because it was killed."""
+    """Time span in which calls to one router may fail because it was killed."""
 
     target: int
     since: float
     until: float
 
     def covers(self, call: CallRecord) -> bool:
-        """Whether the call was lost with the router."""
+        """Whether the call ended at this router within the span."""
         return call.target == self.target and self.since <= call.end <= self.until
 
 
 @dataclass(slots=True)
 class Measures:
-    """Measures of one run of a load; waits are in seconds."""
+    """Measures of one load run; waits are in seconds.
+
+    Attributes
+    ----------
+    excused : int
+        Lost or incomplete calls that a router kill explains.
+    doubled : int
+        Idempotency keys that ran more than once.
+    false_not_run : int
+        Calls reported as `not_run` whose request ran.
+    cut : int
+        Incomplete responses of which some bytes arrived.
+    """
 
     answers: int = 0
     incomplete: int = 0
@@ -93,7 +105,7 @@
     refusals: dict[str, int] = field(default_factory=dict)
 
 
-def widest(curve: Iterable[float]) -> float:
+def value_range(curve: Iterable[float]) -> float:
     """Return the largest difference between any two points of a curve, in O(n)."""
     low, high = inf, -inf
     for value in curve:
@@ -104,10 +116,10 @@
 def backlogged_bins(
     calls: Iterable[CallRecord], started: Mapping[str, float], until: float
 ) -> dict[str, set[int]]:
-    """Return, per organisation, the time bins in which requests waited throughout.
+    """Return, per organisation, the time bins throughout which requests waited.
 
     A request waits from the call until an endpoint first starts it, or until the caller
-    gets a refusal. A bin counts when it lies within the union of these spans.
+    receives a refusal. A bin counts if it lies within the union of these spans.
 
     Parameters
     ----------
@@ -123,8 +135,8 @@
         if end > call.sent:
             spans[call.organisation].append((call.sent, end))
     return {
-        organisation: _covered_bins(sorted(found))
-        for organisation, found in spans.items()
+        organisation: _covered_bins(sorted(organisation_spans))
+        for organisation, organisation_spans in spans.items()
     }
 
 
@@ -135,7 +147,7 @@
         if next_start <= end:
             end = max(end, next_end)
             continue
-        bins.update(range(ceil(start / BIN_S), floor(end / BIN_S)))
+        bins.update(range(ceil(start / BIN_WIDTH_S), floor(end / BIN_WIDTH_S)))
         start, end = next_start, next_end
     return bins
 
@@ -148,65 +160,72 @@
 ) -> Gap:
     """Return the largest gap over all pairs of organisations of one pool.
 
-    For each maximal run of bins in which both organisations are backlogged, the
-    difference of service units by share is a curve, and the largest change over any
-    sub-interval is its maximum minus its minimum.
+    For each maximal sequence of bins in which both organisations are backlogged, the
+    cumulative difference of service units divided by share forms a curve. The largest
+    change over any sub-interval is the curve's maximum minus its minimum.
     """
-    best = Gap(pool=pool)
+    largest_gap = Gap(pool=pool)
     for first, second in combinations(sorted(backlogged), 2):
-        common = sorted(backlogged[first] & backlogged[second])
+        common_bins = sorted(backlogged[first] & backlogged[second])
         first_units, second_units = units.get(first, {}), units.get(second, {})
-        for interval in _runs(common):
+        for consecutive_bins in _split_consecutive(common_bins):
             curve, total = [0.0], 0.0
-            for index in interval:
+            for index in consecutive_bins:
                 total += first_units.get(index, 0.0) / shares[first]
                 total -= second_units.get(index, 0.0) / shares[second]
                 curve.append(total)
-            width = widest(curve)
-            if width > best.units:
-                best = Gap(width, pool, first, second, len(interval) * BIN_S)
-    return best
+            gap_units = value_range(curve)
+            if gap_units > largest_gap.units:
+                largest_gap = Gap(
+                    gap_units, pool, first, second, len(consecutive_bins) * BIN_WIDTH_S
+                )
+    return largest_gap
 
 
-def _runs(bins: Sequence[int]) -> list[Sequence[int]]:
-    """Split sorted bins into maximal runs of consecutive ones."""
-    runs: list[Sequence[int]] = []
+def _split_consecutive(bins: Sequence[int]) -> list[Sequence[int]]:
+    """Split sorted bins into maximal sequences of consecutive bins."""
+    sequences: list[Sequence[int]] = []
     start = 0
     for position in range(1, len(bins) + 1):
         if position == len(bins) or bins[position] != bins[position - 1] + 1:
-            runs.append(bins[start:position])
+            sequences.append(bins[start:position])
             start = position
-    return runs
+    return sequences
 
 
 def utilisation(
     recordings: Sequence[Recording],
     backlogged: Mapping[str, set[int]],
-    answered: set[str],
+    answered_tags: set[str],
 ) -> float:
-    """Return useful service units by capacity over the bins in which a request waits.
+    """Return the ratio of useful service units to capacity while requests wait.
 
-    1.0 without such a bin. The part of all units that went to runs which crashed, were
-    cancelled or whose request got no answer (`answered` holds tags) is not useful.
+    Only bins in which an organisation is backlogged count; without one the ratio is
+    1.0. The units served in these bins are scaled by the useful fraction of all units:
+    runs that crashed, were cancelled or whose tag is not in `answered_tags` are wasted.
     """
-    waiting: set[int] = set().union(*backlogged.values()) if backlogged else set()
+    waiting_bins: set[int] = set().union(*backlogged.values()) if backlogged else set()
     capacity = sum(recording.capacity for recording in recordings)
-    if not waiting or capacity <= 0:
+    if not waiting_bins or capacity <= 0:
         return 1.0
     served = 0.0
     for recording in recordings:
         for bins in recording.units.values():
-            served += sum(bins[index] for index in waiting & bins.keys())
+            served += sum(bins[index] for index in waiting_bins & bins.keys())
     total = useful = 0.0
     for recording in recordings:
         for run in recording.runs:
             total += run.units
-            if run.tag in answered and run.outcome not in WASTED:
+            if run.tag in answered_tags and run.outcome not in WASTED_OUTCOMES:
                 useful += run.units
-    return served / (capacity * BIN_S * len(waiting)) * (useful / total if total else 1)
+    return (
+        served
+        / (capacity * BIN_WIDTH_S * len(waiting_bins))
+        * (useful / total if total else 1)
+    )
 
 
-def doubled(runs: Iterable[Run]) -> int:
+def count_repeated_keys(runs: Iterable[Run]) -> int:
     """Return how many idempotency keys ran more than once."""
     counts = Counter(
         (run.pool, run.organisation, run.key) for run in runs if run.key and run.ran
@@ -221,40 +240,45 @@
     until: float,
     excused: Sequence[Excuse] = (),
 ) -> Measures:
-    """Compute all measures of one run.
+    """Compute all measures of one load run.
 
     Parameters
     ----------
     excused
-        Spans in which a router was killed: calls that it lost are counted apart.
+        Spans in which a router was killed; calls lost in them count separately.
     until
-        Time at which the load ended, in seconds; later bins do not count, since the
-        drain of a finite load is no steady backlog.
+        Time at which the load ended, in seconds; later bins do not count,
+        because the drain of a finite load is not a steady backlog.
     """
     measures = Measures()
     runs = [run for recording in recordings for run in recording.runs]
-    started: dict[str, float] = {}
+    first_starts: dict[str, float] = {}
     for run in runs:
         if run.started is not None and run.tag:
-            started[run.tag] = min(started.get(run.tag, inf), run.started)
-    _count_verdicts(measures, calls, started, excused)
-    measures.false_not_run = _false_not_run(calls, runs)
-    measures.doubled = doubled(runs)
-    answered = {call.tag for call in calls if call.verdict is Verdict.ANSWERED}
+            first_starts[run.tag] = min(first_starts.get(run.tag, inf), run.started)
+    _count_verdicts(measures, calls, first_starts, excused)
+    measures.false_not_run = _count_false_not_run(calls, runs)
+    measures.doubled = count_repeated_keys(runs)
+    answered_tags = {call.tag for call in calls if call.verdict is Verdict.ANSWERED}
     for pool in sorted({recording.pool for recording in recordings}):
-        members = [recording for recording in recordings if recording.pool == pool]
+        pool_recordings = [
+            recording for recording in recordings if recording.pool == pool
+        ]
         pool_calls = [call for call in calls if call.pool == pool]
         units: dict[str, Counter[int]] = defaultdict(Counter)
-        for recording in members:
+        for recording in pool_recordings:
             for organisation, bins in recording.units.items():
                 units[organisation].update(bins)
-        backlogged = backlogged_bins(pool_calls, started, until)
+        backlogged = backlogged_bins(pool_calls, first_starts, until)
         gap = fairness_gap(pool, units, shares, backlogged)
         measures.fairness_gap[pool] = gap.units
         measures.gap_detail[pool] = gap
-        measures.utilisation[pool] = utilisation(members, backlogged, answered)
+        measures.utilisation[pool] = utilisation(
+            pool_recordings, backlogged, answered_tags
+        )
         measures.largest_units[pool] = max(
-            (run.units for member in members for run in member.runs), default=0.0
+            (run.units for recording in pool_recordings for run in recording.runs),
+            default=0.0,
         )
         measures.service[pool] = {
             organisation: sum(bins.values())
@@ -263,11 +287,11 @@
     return measures
 
 
-def _false_not_run(calls: Sequence[CallRecord], runs: Sequence[Run]) -> int:
-    """Count calls told `not_run` that ran.
+def _count_false_not_run(calls: Sequence[CallRecord], runs: Sequence[Run]) -> int:
+    """Count calls reported as `not_run` whose request ran.
 
-    A request that was sent once is found by its tag. For resends only the attempt's
-    own request id tells whether that attempt ran.
+    A request that was sent once is matched by its tag. Resends share a tag, so each of
+    their attempts is matched by its own request id only.
     """
     tags = {run.tag for run in runs if run.ran}
     request_ids = {run.request_id for run in runs if run.ran}
@@ -286,22 +310,22 @@
 def _count_verdicts(
     measures: Measures,
     calls: Sequence[CallRecord],
-    started: Mapping[str, float],
+    first_starts: Mapping[str, float],
     excused: Sequence[Excuse],
 ) -> None:
     waits: defaultdict[str, list[float]] = defaultdict(list)
     refusals: Counter[str] = Counter()
     for call in calls:
-        broken = call.verdict in (Verdict.LOST, Verdict.INCOMPLETE)
-        if broken and any(excuse.covers(call) for excuse in excused):
+        connection_broken = call.verdict in (Verdict.LOST, Verdict.INCOMPLETE)
+        if connection_broken and any(excuse.covers(call) for excuse in excused):
             measures.excused += 1
             continue
         match call.verdict:
             case Verdict.ANSWERED:
                 measures.answers += 1
-                begun = started.get(call.tag)
-                if begun is not None:
-                    waits[call.organisation].append(max(0.0, begun - call.sent))
+                run_started = first_starts.get(call.tag)
+                if run_started is not None:
+                    waits[call.organisation].append(max(0.0, run_started - call.sent))
             case Verdict.REFUSED:
                 refusals[call.code or "without_code"] += 1
             case Verdict.WRONG:
@@ -311,8 +335,10 @@
                 measures.cut += 1 if call.first_byte is not None else 0
             case Verdict.LOST:
                 measures.lost += 1
-    for organisation, found in sorted(waits.items()):
-        found.sort()
-        measures.wait[organisation] = sum(found) / len(found)
-        measures.wait_p95[organisation] = found[int(0.95 * (len(found) - 1))]
+    for organisation, organisation_waits in sorted(waits.items()):
+        organisation_waits.sort()
+        measures.wait[organisation] = sum(organisation_waits) / len(organisation_waits)
+        measures.wait_p95[organisation] = organisation_waits[
+            int(0.95 * (len(organisation_waits) - 1))
+        ]
     measures.refusals = dict(sorted(refusals.items()))
--- a/borageworks_emulator/baseline.py
+++ b/borageworks_emulator/baseline.py
@@ -12,12 +12,12 @@
 from borageworks_emulator.load import Balancer, LoadGenerator, LoadResult, Trace
 from borageworks_emulator.topology import AnyEndpoint, Topology
 
-Script = Callable[[list[AnyEndpoint]], Awaitable[None]]
+FaultScript = Callable[[list[AnyEndpoint]], Awaitable[None]]
 
 
 @dataclass(slots=True)
 class BaselineRun:
-    """Measures, calls and endpoints of a run of the central queue."""
+    """Measures, calls and endpoints of a run with the central queue."""
 
     measures: Measures
     load: LoadResult
@@ -25,24 +25,24 @@
 
 
 async def run_central(
-    topology: Topology, trace: Trace, script: Script | None = None
+    topology: Topology, trace: Trace, script: FaultScript | None = None
 ) -> BaselineRun:
-    """Run a trace through the central queue; `script` switches endpoint faults."""
+    """Run a trace through the central queue; `script` injects endpoint faults."""
     endpoints = topology.endpoints()
     central = CentralQueue(topology.shares, endpoints, topology.service_pools)
-    scripted: asyncio.Future[None] | None = None
+    script_task: asyncio.Future[None] | None = None
     try:
         for endpoint in endpoints:
             await endpoint.start()
         await central.start()
         if script is not None:
-            scripted = asyncio.ensure_future(script(endpoints))
+            script_task = asyncio.ensure_future(script(endpoints))
         load = await LoadGenerator(trace, Balancer([central.url])).run()
     finally:
-        if scripted is not None:
-            scripted.cancel()
+        if script_task is not None:
+            script_task.cancel()
             with suppress(asyncio.CancelledError):
-                await scripted
+                await script_task
         await central.stop()
         for endpoint in endpoints:
             await endpoint.stop()
--- a/borageworks_emulator/central.py
+++ b/borageworks_emulator/central.py
@@ -1,8 +1,8 @@
-"""Baseline: one central queue in front of the same emulated endpoints.
+"""Baseline for comparison: one central queue in front of the emulated endpoints.
 
-It sees every request and every completion at once, and holds a fixed window per
-endpoint. It serves the callers' HTTP interface, so that the load generator and the
-endpoints do the same work as with routers.
+The queue sees every request and every completion immediately and keeps a fixed window
+per endpoint. It serves the same HTTP interface as the routers, so that the load
+generator and the endpoints do the same work in both cases.
 """
 
 from __future__ import annotations
@@ -24,18 +24,18 @@
 from borageworks_emulator.load import api_key
 from borageworks_emulator.service import EmulatedService
 
-ESTIMATE_GAIN = 0.1
-ENGINE_ESTIMATE = 10.0
-PLAIN_ESTIMATE = 0.02
-# More than the usage event and the end marker of a stream.
-TAIL_BYTES = 2048
-BACKLOG = 1024
-COPIED_HEADERS = ("Content-Type", "X-Request-Id")
+ESTIMATE_SMOOTHING_FACTOR = 0.1
+ENGINE_INITIAL_ESTIMATE_UNITS = 10.0
+PLAIN_INITIAL_ESTIMATE_UNITS = 0.02
+# Large enough for the usage event and the end marker of a stream.
+STREAM_TAIL_BYTES = 2048
+LISTEN_BACKLOG = 1024
+FORWARDED_HEADERS = ("Content-Type", "X-Request-Id")
 
 
 @dataclass(slots=True)
 class Slot:
-    """An endpoint with its window."""
+    """An endpoint and its window, the limit of concurrent requests."""
 
     url: str
     window: int
@@ -45,13 +45,13 @@
 @dataclass(slots=True)
 class _Organisation:
     share: float
-    estimate: float
-    tag: float = 0.0
+    estimated_units: float
+    start_tag: float = 0.0
     waiting: deque[asyncio.Future[Slot]] = field(default_factory=deque)
 
 
 class CentralPool:
-    """Start-time fair queueing of one pool.
+    """Start-time fair queueing for the endpoints of one pool.
 
     Parameters
     ----------
@@ -59,24 +59,25 @@
         Share by organisation.
     slots
         Endpoints with their windows.
-    estimate
-        Service units that a request is expected to take before any was observed.
+    estimated_units
+        Initial estimate of the service units of a request.
     """
 
     def __init__(
-        self, shares: dict[str, float], slots: list[Slot], estimate: float
+        self, shares: dict[str, float], slots: list[Slot], estimated_units: float
     ) -> None:
         self._slots = slots
         self._virtual_time = 0.0
         self._organisations = {
-            name: _Organisation(share, estimate) for name, share in shares.items()
+            name: _Organisation(share, estimated_units)
+            for name, share in shares.items()
         }
 
     async def acquire(self, organisation: str) -> tuple[Slot, float]:
-        """Wait for a slot; returns it with the units charged in advance."""
+        """Wait for a slot and return it with the units charged in advance."""
         state = self._organisations[organisation]
         if not state.waiting:
-            state.tag = max(state.tag, self._virtual_time)
+            state.start_tag = max(state.start_tag, self._virtual_time)
         future: asyncio.Future[Slot] = asyncio.get_running_loop().create_future()
         state.waiting.append(future)
         self._dispatch()
@@ -88,21 +89,23 @@
             elif future in state.waiting:
                 state.waiting.remove(future)
             raise
-        return slot, state.estimate
+        return slot, state.estimated_units
 
     def release(
-        self, organisation: str, slot: Slot, charged: float, units: float
+        self, organisation: str, slot: Slot, charged_units: float, units: float
     ) -> None:
-        """Return a slot and replace the charged estimate by the real units."""
+        """Free a slot and replace the charged units by the units of the request."""
         state = self._organisations[organisation]
-        state.tag += (units - charged) / state.share
-        state.estimate += ESTIMATE_GAIN * (units - state.estimate)
+        state.start_tag += (units - charged_units) / state.share
+        state.estimated_units += ESTIMATE_SMOOTHING_FACTOR * (
+            units - state.estimated_units
+        )
         self._free(slot)
 
     def charge(self, organisation: str, units: float) -> None:
-        """Charge units at once."""
+        """Charge units to an organisation immediately."""
         state = self._organisations[organisation]
-        state.tag += units / state.share
+        state.start_tag += units / state.share
 
     def _free(self, slot: Slot) -> None:
         slot.in_use -= 1
@@ -110,19 +113,19 @@
 
     def _dispatch(self) -> None:
         while True:
-            free = [slot for slot in self._slots if slot.in_use < slot.window]
+            free_slots = [slot for slot in self._slots if slot.in_use < slot.window]
             waiting = [s for s in self._organisations.values() if s.waiting]
-            if not free or not waiting:
+            if not free_slots or not waiting:
                 return
-            state = min(waiting, key=lambda s: s.tag)
-            slot = min(free, key=lambda s: s.in_use / s.window)
-            self._virtual_time = max(self._virtual_time, state.tag)
-            state.tag += state.estimate / state.share
+            state = min(waiting, key=lambda s: s.start_tag)
+            slot = min(free_slots, key=lambda s: s.in_use / s.window)
+            self._virtual_time = max(self._virtual_time, state.start_tag)
+            state.start_tag += state.estimated_units / state.share
             slot.in_use += 1
             future = state.waiting.popleft()
             if future.cancelled():
                 slot.in_use -= 1
-                state.tag -= state.estimate / state.share
+                state.start_tag -= state.estimated_units / state.share
             else:
                 future.set_result(slot)
 
@@ -135,8 +138,8 @@
     shares
         Share by organisation.
     endpoints
-        Emulated endpoints; the window is an engine's best batch or a service's
-        capacity.
+        Emulated endpoints; the window is the best batch size of an engine or the
+        capacity of a service.
     pools
         Pool by service id.
     """
@@ -147,18 +150,18 @@
         endpoints: list[EmulatedEngine | EmulatedService],
         pools: dict[str, str],
     ) -> None:
-        self._pool_of = pools
-        self._organisation_of = {api_key(name): name for name in shares}
+        self._pool_by_service = pools
+        self._organisation_by_key = {api_key(name): name for name in shares}
         self._shares = shares
         self._endpoints = endpoints
         self._pools: dict[str, CentralPool] = {}
         self._session: aiohttp.ClientSession | None = None
         self._runner: web.AppRunner | None = None
-        self._requests = 0
+        self._request_count = 0
         self.url = ""
 
     async def start(self, host: str = "127.0.0.1") -> None:
-        """Listen on a free port, readable from `url`; endpoints must be started."""
+        """Listen on a free port and set `url`; the endpoints must have been started."""
         self._create_pools()
         self._session = aiohttp.ClientSession(
             connector=aiohttp.TCPConnector(limit=0),
@@ -166,8 +169,10 @@
             auto_decompress=False,
         )
         application = web.Application(client_max_size=1 << 26)
-        application.router.add_post("/v1/chat/completions", self._chat)
-        application.router.add_route("*", "/services/{service}/{path:.*}", self._plain)
+        application.router.add_post("/v1/chat/completions", self._chat_completion)
+        application.router.add_route(
+            "*", "/services/{service}/{path:.*}", self._plain_request
+        )
         self._runner = web.AppRunner(
             application,
             access_log=None,
@@ -175,7 +180,7 @@
             shutdown_timeout=0.1,
         )
         await self._runner.setup()
-        await web.TCPSite(self._runner, host, 0, backlog=BACKLOG).start()
+        await web.TCPSite(self._runner, host, 0, backlog=LISTEN_BACKLOG).start()
         self.url = f"http://{host}:{self._runner.addresses[0][1]}"
 
     def _create_pools(self) -> None:
@@ -183,16 +188,22 @@
         estimates: dict[str, float] = {}
         for endpoint in self._endpoints:
             if isinstance(endpoint, EmulatedEngine):
-                window, estimate = endpoint.profile.best_batch, ENGINE_ESTIMATE
+                window, estimated_units = (
+                    endpoint.profile.best_batch,
+                    ENGINE_INITIAL_ESTIMATE_UNITS,
+                )
             else:
-                window, estimate = endpoint.profile.capacity, PLAIN_ESTIMATE
+                window, estimated_units = (
+                    endpoint.profile.capacity,
+                    PLAIN_INITIAL_ESTIMATE_UNITS,
+                )
             pool = endpoint.recording.pool
             url = f"http://{endpoint.host}:{endpoint.port}"
             slots.setdefault(pool, []).append(Slot(url, window))
-            estimates[pool] = estimate
+            estimates[pool] = estimated_units
         self._pools = {
-            pool: CentralPool(self._shares, found, estimates[pool])
-            for pool, found in slots.items()
+            pool: CentralPool(self._shares, pool_slots, estimates[pool])
+            for pool, pool_slots in slots.items()
         }
 
     async def stop(self) -> None:
@@ -204,55 +215,55 @@
 
     def _organisation(self, request: web.Request) -> str:
         key = request.headers.get("Authorization", "").removeprefix("Bearer ")
-        organisation = self._organisation_of.get(key)
+        organisation = self._organisation_by_key.get(key)
         if organisation is None:
             raise web.HTTPUnauthorized
         return organisation
 
     def _headers(self, request: web.Request, organisation: str) -> dict[str, str]:
-        self._requests += 1
+        self._request_count += 1
         headers = {
             "Content-Type": request.content_type,
-            "X-Request-Id": f"central-{self._requests}",
+            "X-Request-Id": f"central-{self._request_count}",
             "X-Organisation": organisation,
         }
         if "Idempotency-Key" in request.headers:
             headers["Idempotency-Key"] = request.headers["Idempotency-Key"]
         return headers
 
-    async def _chat(self, request: web.Request) -> web.StreamResponse:
+    async def _chat_completion(self, request: web.Request) -> web.StreamResponse:
         organisation = self._organisation(request)
         raw = await request.read()
         body = orjson.loads(raw)
         if body.get("stream"):
-            # The usage event tells how much of the prompt was cached.
+            # The usage event reports how much of the prompt was cached.
             raw = orjson.dumps({**body, "stream_options": {"include_usage": True}})
-        pool = self._pools[self._pool_of[body["model"]]]
-        prompt = len(prompt_words(body)) * PROMPT_TOKEN_UNITS
-        slot, charged = await pool.acquire(organisation)
-        meter = _Meter(pool, organisation, charged)
-        meter.add(prompt)
+        pool = self._pools[self._pool_by_service[body["model"]]]
+        prompt_units = len(prompt_words(body)) * PROMPT_TOKEN_UNITS
+        slot, charged_units = await pool.acquire(organisation)
+        meter = _Meter(pool, organisation, charged_units)
+        meter.add(prompt_units)
         try:
             return await self._forward(
                 request, slot, "/v1/chat/completions", organisation, raw, meter
             )
         finally:
-            pool.release(organisation, slot, meter.charged, meter.units)
+            pool.release(organisation, slot, meter.charged_units, meter.units)
 
-    async def _plain(self, request: web.Request) -> web.StreamResponse:
+    async def _plain_request(self, request: web.Request) -> web.StreamResponse:
         organisation = self._organisation(request)
         raw = await request.read()
         service = request.match_info["service"]
-        pool = self._pools[self._pool_of[service]]
+        pool = self._pools[self._pool_by_service[service]]
         path = request.raw_path.removeprefix(f"/services/{service}")
-        slot, charged = await pool.acquire(organisation)
-        meter = _Meter(pool, organisation, charged)
-        began = asyncio.get_running_loop().time()
+        slot, charged_units = await pool.acquire(organisation)
+        meter = _Meter(pool, organisation, charged_units)
+        started_at = asyncio.get_running_loop().time()
         try:
             return await self._forward(request, slot, path, organisation, raw, meter)
         finally:
-            meter.units = asyncio.get_running_loop().time() - began
-            pool.release(organisation, slot, meter.charged, meter.units)
+            meter.units = asyncio.get_running_loop().time() - started_at
+            pool.release(organisation, slot, meter.charged_units, meter.units)
 
     async def _forward(
         self,
@@ -272,7 +283,7 @@
         ) as upstream:
             headers = {
                 name: upstream.headers[name]
-                for name in COPIED_HEADERS
+                for name in FORWARDED_HEADERS
                 if name in upstream.headers
             }
             if upstream.content_type != "text/event-stream":
@@ -282,10 +293,10 @@
             response = web.StreamResponse(status=upstream.status, headers=headers)
             await response.prepare(request)
             tail = b""
-            async for part in upstream.content.iter_any():
-                meter.add(part.count(b'"content"') * GENERATED_TOKEN_UNITS)
-                await response.write(part)
-                tail = (tail + part)[-TAIL_BYTES:]
+            async for chunk in upstream.content.iter_any():
+                meter.add(chunk.count(b'"content"') * GENERATED_TOKEN_UNITS)
+                await response.write(chunk)
+                tail = (tail + chunk)[-STREAM_TAIL_BYTES:]
             for event in tail.split(b"\n\n"):
                 meter.settle(event.removeprefix(b"data: "))
             await response.write_eof()
@@ -294,19 +305,19 @@
 
 @dataclass(slots=True)
 class _Meter:
-    """Charges units beyond the estimate as soon as they are seen."""
+    """Charges units beyond the estimate as soon as they are observed."""
 
     pool: CentralPool
     organisation: str
-    charged: float
+    charged_units: float
     units: float = 0.0
 
     def add(self, units: float) -> None:
-        """Count units; those beyond what was charged are charged at once."""
+        """Count units and immediately charge those beyond the charged units."""
         self.units += units
-        if self.units > self.charged:
-            self.pool.charge(self.organisation, self.units - self.charged)
-            self.charged = self.units
+        if self.units > self.charged_units:
+            self.pool.charge(self.organisation, self.units - self.charged_units)
+            self.charged_units = self.units
 
     def settle(self, document: bytes) -> None:
         """Set the exact units if the document is JSON with a usage object."""
@@ -314,9 +325,12 @@
             return
         try:
             usage = orjson.loads(document)["usage"]
-            cached = usage["prompt_tokens_details"]["cached_tokens"]
-            prompt = usage["prompt_tokens"] - cached
-            generated = usage["completion_tokens"]
+            cached_tokens = usage["prompt_tokens_details"]["cached_tokens"]
+            uncached_tokens = usage["prompt_tokens"] - cached_tokens
+            generated_tokens = usage["completion_tokens"]
         except (ValueError, KeyError, TypeError):
             return
-        self.units = prompt * PROMPT_TOKEN_UNITS + generated * GENERATED_TOKEN_UNITS
+        self.units = (
+            uncached_tokens * PROMPT_TOKEN_UNITS
+            + generated_tokens * GENERATED_TOKEN_UNITS
+        )
--- a/borageworks_emulator/endpoint.py
+++ b/borageworks_emulator/endpoint.py
@@ -1,4 +1,4 @@
-"""Base of emulated endpoints: listening, crashes, load reports, crossed answers."""
+"""Base of emulated endpoints: listening, crashes, load reports, crossed responses."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 
 T = TypeVar("T")
 
-REQUEST_ID = "X-Request-Id"
-ORGANISATION = "X-Organisation"
-IDEMPOTENCY_KEY = "Idempotency-Key"
-RESUME_OFFSET = "Resume-Offset"
-LOAD_LAG_S = 0.25
-EXCHANGE_WAIT_S = 2.0
+REQUEST_ID_HEADER = "X-Request-Id"
+ORGANISATION_HEADER = "X-Organisation"
+IDEMPOTENCY_KEY_HEADER = "Idempotency-Key"
+RESUME_OFFSET_HEADER = "Resume-Offset"
+LOAD_REFRESH_INTERVAL_S = 0.25
+EXCHANGE_TIMEOUT_S = 2.0
 MAX_BODY_BYTES = 64 * 1_048_576
 
 
 class EmulatedEndpoint(ABC):
-    """An HTTP endpoint that records what it ran and applies faults."""
+    """HTTP endpoint that records the requests it runs and injects faults."""
 
     def __init__(self, recording: Recording, faults: Faults | None = None) -> None:
         self.recording = recording
@@ -39,11 +39,11 @@
         self._runner: web.AppRunner | None = None
         self._site: web.TCPSite | None = None
         self._tasks: set[asyncio.Task[None]] = set()
-        self._background: list[asyncio.Task[None]] = []
-        self._report: dict[str, object] = {}
-        self._requests = 0
+        self._background_tasks: list[asyncio.Task[None]] = []
+        self._published_load: dict[str, object] = {}
+        self._request_count = 0
         self._down = False
-        self._exchange_waiter: tuple[object, asyncio.Future[object]] | None = None
+        self._pending_exchange: tuple[object, asyncio.Future[object]] | None = None
 
     @property
     def down(self) -> bool:
@@ -53,7 +53,7 @@
     @property
     @abstractmethod
     def running(self) -> int:
-        """Number of requests that run now."""
+        """Number of requests that are running."""
 
     @property
     @abstractmethod
@@ -61,7 +61,7 @@
         """Number of requests that wait inside the endpoint."""
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> None:
-        """Listen on an address; port 0 takes a free port, readable from `port`."""
+        """Listen on an address; port 0 selects a free port and sets `port`."""
         application = web.Application(client_max_size=MAX_BODY_BYTES)
         application.router.add_get("/load", self._get_load)
         application.router.add_get("/health", self._get_health)
@@ -79,29 +79,31 @@
         self._site = web.TCPSite(self._runner, host, port, reuse_address=True)
         await self._site.start()
         self.port = port
-        self._report = self._load_report()
-        self._background.append(asyncio.create_task(self._refresh_load()))
+        self._published_load = self._load_report()
+        self._background_tasks.append(asyncio.create_task(self._refresh_load()))
 
     async def stop(self) -> None:
-        """Stop listening and end every run."""
-        for task in (*self._background, *self._tasks):
+        """Stop listening and cancel all tasks."""
+        for task in (*self._background_tasks, *self._tasks):
             task.cancel()
-        await asyncio.gather(*self._background, *self._tasks, return_exceptions=True)
-        self._background.clear()
+        await asyncio.gather(
+            *self._background_tasks, *self._tasks, return_exceptions=True
+        )
+        self._background_tasks.clear()
         if self._runner is not None:
             await self._runner.cleanup()
             self._runner = None
 
     def crash(self) -> None:
-        """Break every connection, end every run and stay down for `down_s` seconds."""
+        """Abort all connections, drop all requests and stay down for `down_s`."""
         if self._down or self._runner is None:
             return
         self._down = True
         self.faults.note("crash")
-        self.spawn(self._crash())
+        self.spawn(self._crash_and_restart())
 
     def spawn(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Start a task that `stop` ends."""
+        """Start a task that `stop` cancels."""
         task = asyncio.create_task(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -116,57 +118,60 @@
         """Return the current content of `/load`."""
 
     @abstractmethod
-    def _end_all_runs(self) -> None:
-        """Forget all running and waiting requests after a crash."""
+    def _drop_all_requests(self) -> None:
+        """Drop all running and waiting requests after a crash."""
 
-    def _next_request(self) -> int:
-        self._requests += 1
-        return self._requests
+    def _next_request_number(self) -> int:
+        self._request_count += 1
+        return self._request_count
 
-    def _hit(self, every: int, number: int, fault: str) -> bool:
-        if every <= 0 or number % every:
+    def _fault_due(self, interval: int, number: int, fault: str) -> bool:
+        if interval <= 0 or number % interval:
             return False
         self.faults.note(fault)
         return True
 
-    async def _exchange(self, answer: T) -> T:
-        """Return the answer of another request while answers are to be crossed."""
+    async def _exchange_response(self, response: T) -> T:
+        """Return the response of another request while the crossed fault is active."""
         if self.faults.crossed <= 0:
-            return answer
-        if self._exchange_waiter is not None:
-            other, future = self._exchange_waiter
-            self._exchange_waiter = None
+            return response
+        if self._pending_exchange is not None:
+            other, future = self._pending_exchange
+            self._pending_exchange = None
             if not future.done():
                 self.faults.crossed -= 1
                 self.faults.note("crossed")
-                future.set_result(answer)
+                future.set_result(response)
                 return other  # type: ignore[return-value]
         future = asyncio.get_running_loop().create_future()
-        self._exchange_waiter = (answer, future)
+        self._pending_exchange = (response, future)
         try:
-            async with asyncio.timeout(EXCHANGE_WAIT_S):
+            async with asyncio.timeout(EXCHANGE_TIMEOUT_S):
                 return await future  # type: ignore[return-value]
         except TimeoutError:
-            return answer
+            return response
         finally:
-            if self._exchange_waiter is not None and self._exchange_waiter[1] is future:
-                self._exchange_waiter = None
+            if (
+                self._pending_exchange is not None
+                and self._pending_exchange[1] is future
+            ):
+                self._pending_exchange = None
 
-    async def _crash(self) -> None:
+    async def _crash_and_restart(self) -> None:
         assert self._runner is not None
         if self._site is not None:
-            # Stopping the site would wait for its connections, so they are broken
-            # both before (no reply may leave) and after (accepted in the meantime).
+            # Stopping the site waits for its connections. They are aborted before, so
+            # that no response is sent, and after, for those accepted meanwhile.
             self._abort_connections()
             with contextlib.suppress(RuntimeError):
                 await self._site.stop()
         self._abort_connections()
-        self._end_all_runs()
+        self._drop_all_requests()
         await asyncio.sleep(self.faults.down_s)
         self.incarnation = secrets.token_hex(8)
         self._site = web.TCPSite(self._runner, self.host, self.port, reuse_address=True)
         await self._site.start()
-        self._report = self._load_report()
+        self._published_load = self._load_report()
         self._down = False
 
     def _abort_connections(self) -> None:
@@ -177,18 +182,18 @@
         for connection in list(server.connections):
             transport = connection.transport
             if transport is not None:
-                # uvloop's transports are no subclass of `asyncio.Transport`.
+                # uvloop's transports are not subclasses of `asyncio.Transport`.
                 transport.abort()
 
     async def _refresh_load(self) -> None:
         while True:
-            await asyncio.sleep(LOAD_LAG_S)
+            await asyncio.sleep(LOAD_REFRESH_INTERVAL_S)
             if not self.faults.frozen_load and not self._down:
-                self._report = self._load_report()
+                self._published_load = self._load_report()
 
     async def _get_load(self, request: web.Request) -> web.Response:
         return web.Response(
-            body=orjson.dumps(self._report), content_type="application/json"
+            body=orjson.dumps(self._published_load), content_type="application/json"
         )
 
     async def _get_health(self, request: web.Request) -> web.Response:
--- a/borageworks_emulator/lag.py
+++ b/borageworks_emulator/lag.py
@@ -1,4 +1,4 @@
-"""Lateness of the running event loop."""
+"""Lag of the running event loop."""
 
 from __future__ import annotations
 
@@ -7,47 +7,47 @@
 from types import TracebackType
 from typing import Self
 
-PERIOD_S = 0.01
+SAMPLE_INTERVAL_S = 0.01
 
 
 class LoopLag:
     """Measures how late a periodic timer fires while the context is open.
 
-    The emulator shares one loop between load, endpoints and baseline, so a busy loop
-    distorts every wait that it measures.
+    Load generator, endpoints and baseline share one event loop, so loop lag distorts
+    every wait that the emulator measures.
     """
 
     def __init__(self) -> None:
-        self._late: list[float] = []
+        self._lags_s: list[float] = []
         self._task: asyncio.Task[None] | None = None
 
     async def __aenter__(self) -> Self:
-        """Start to measure."""
-        self._task = asyncio.create_task(self._measure())
+        """Start measuring."""
+        self._task = asyncio.create_task(self._sample())
         return self
 
     async def __aexit__(
         self,
-        kind: type[BaseException] | None,
-        error: BaseException | None,
-        trace: TracebackType | None,
+        exc_type: type[BaseException] | None,
+        exc: BaseException | None,
+        traceback: TracebackType | None,
     ) -> None:
-        """Stop to measure."""
+        """Stop measuring."""
         assert self._task is not None
         self._task.cancel()
         with suppress(asyncio.CancelledError):
             await self._task
 
     def quantile(self, percent: float) -> float:
-        """Return a quantile of the lateness in seconds, 0.0 without a value."""
-        if not self._late:
+        """Return a percentile of the loop lag in seconds, 0.0 without samples."""
+        if not self._lags_s:
             return 0.0
-        ordered = sorted(self._late)
+        ordered = sorted(self._lags_s)
         return ordered[min(len(ordered) - 1, int(len(ordered) * percent / 100))]
 
-    async def _measure(self) -> None:
+    async def _sample(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            due = loop.time() + PERIOD_S
-            await asyncio.sleep(PERIOD_S)
-            self._late.append(max(0.0, loop.time() - due))
+            expected = loop.time() + SAMPLE_INTERVAL_S
+            await asyncio.sleep(SAMPLE_INTERVAL_S)
+            self._lags_s.append(max(0.0, loop.time() - expected))
--- a/borageworks_emulator/load.py
+++ b/borageworks_emulator/load.py
@@ -1,4 +1,4 @@
-"""Load generator: organisations' requests from a precomputed trace, each verified."""
+"""Load generator: sends the requests of a trace and verifies each response."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 from borageworks_emulator.analysis import CallRecord, Verdict
 from borageworks_emulator.engine import expected_content
-from borageworks_emulator.service import expected_answer
+from borageworks_emulator.service import expected_response
 
-DRAIN_LIMIT_S = 60.0
-# Hundreds of connections opened in one instant overflow a listening socket's queue, and
-# some callers then wait a second for TCP to repeat its first segment.
-RAMP_S = 0.5
-PROBLEM_TYPE = "application/problem+json"
-WORDS = ("timber", "quote", "depot", "order", "route", "shift", "record", "clean")
+DRAIN_TIMEOUT_S = 60.0
+# Hundreds of connections opened at once overflow a listening socket's backlog, and some
+# callers then wait 1 s for the retransmission of the SYN.
+WORKER_RAMP_UP_S = 0.5
+PROBLEM_CONTENT_TYPE = "application/problem+json"
+VOCABULARY = ("timber", "quote", "depot", "order", "route", "shift", "record", "clean")
 
 
 def api_key(organisation: str) -> str:
@@ -42,25 +42,29 @@
     engine
         Whether the service is a model; otherwise it is a plain service.
     rate
-        Requests per second of Poisson arrivals (open loop); 0 without.
+        Requests per second of Poisson arrivals (open loop); 0 for none.
     workers
-        Callers that send their next request when the last one ended (closed loop).
+        Number of callers that send a request when the previous one ended (closed
+        loop).
     mean, sigma, largest
-        Lognormal length of an answer: tokens, or milliseconds of a plain run.
+        Mean, log standard deviation and upper limit of the lognormal response length in
+        tokens, or of the run duration of a plain service in milliseconds.
     prompt_words
-        Mean prompt length.
+        Mean prompt length in words.
     router
-        Index of the only router that the flow uses; None spreads it over all.
+        Index of the only router that the flow uses; None for all routers.
     keyed
         Whether requests carry an Idempotency-Key.
     resends, resend_after_s
-        Every request is sent again so often, with the same key, after each interval.
+        Number of times that each request is sent again with the same key, and the
+        interval between the attempts.
     start_s, end_s
-        Span of the flow in seconds of the load; `end_s` 0 is the end of the load.
+        Start and end of the flow in seconds from the start of the load; `end_s` 0 is
+        the end of the load.
     marker
-        Text in each body, for faults that react to it.
+        Text in each body that can trigger a fault.
     limit
-        Largest number of requests of each worker; 0 is unlimited.
+        Maximum number of requests of each worker; 0 is unlimited.
     """
 
     organisation: str
@@ -84,15 +88,15 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Plan:
+class PlannedRequest:
     """One request of a trace; `at` is in seconds from the start of the load."""
 
     tag: str
     flow: Flow
     at: float
     body: dict[str, Any]
-    spread: int
-    encoded: bytes
+    router_choice: int
+    encoded_body: bytes
 
     @property
     def path(self) -> str:
@@ -108,9 +112,9 @@
 
 
 class Trace:
-    """All requests of a load, the same for the same flows, seed and duration.
+    """All requests of a load, reproducible from flows, seed and duration.
 
-    Closed-loop requests are generated on demand, in an order of their own per worker.
+    Closed-loop requests are generated on demand, in a separate sequence per worker.
     """
 
     def __init__(self, flows: Sequence[Flow], seed: int, duration_s: float) -> None:
@@ -120,94 +124,108 @@
         self.open_loop = list(
             heapq.merge(
                 *(
-                    self._arrivals(number, flow)
-                    for number, flow in enumerate(flows)
+                    self._arrivals(flow_index, flow)
+                    for flow_index, flow in enumerate(flows)
                     if flow.rate > 0
                 ),
-                key=lambda plan: plan.at,
+                key=lambda planned: planned.at,
             )
         )
 
-    def closed_loop(self, number: int, worker: int) -> Iterator[Plan]:
-        """Yield the requests of one worker of flow `number`."""
-        flow = self.flows[number]
-        source = random.Random(f"{self.seed}/{number}/{worker}")
+    def closed_loop(
+        self, flow_index: int, worker_index: int
+    ) -> Iterator[PlannedRequest]:
+        """Yield the requests of one worker of the flow at `flow_index`."""
+        flow = self.flows[flow_index]
+        rng = random.Random(f"{self.seed}/{flow_index}/{worker_index}")
         index = 0
         while not flow.limit or index < flow.limit:
-            yield self._plan(f"{number}.{worker}.{index}", flow, 0.0, source)
+            yield self._plan_request(
+                f"{flow_index}.{worker_index}.{index}", flow, 0.0, rng
+            )
             index += 1
 
-    def _arrivals(self, number: int, flow: Flow) -> list[Plan]:
-        source = random.Random(f"{self.seed}/{number}")
-        plans: list[Plan] = []
+    def _arrivals(self, flow_index: int, flow: Flow) -> list[PlannedRequest]:
+        rng = random.Random(f"{self.seed}/{flow_index}")
+        planned_requests: list[PlannedRequest] = []
         at = flow.start_s
         end = min(flow.end_s or self.duration_s, self.duration_s)
         while True:
-            at += source.expovariate(flow.rate)
+            at += rng.expovariate(flow.rate)
             if at >= end:
-                return plans
-            plans.append(self._plan(f"{number}.{len(plans)}", flow, at, source))
+                return planned_requests
+            planned_requests.append(
+                self._plan_request(
+                    f"{flow_index}.{len(planned_requests)}", flow, at, rng
+                )
+            )
 
-    def _plan(self, tag: str, flow: Flow, at: float, source: random.Random) -> Plan:
-        median = math.log(flow.mean) - flow.sigma**2 / 2
-        length = min(max(source.lognormvariate(median, flow.sigma), 1.0), flow.largest)
+    def _plan_request(
+        self, tag: str, flow: Flow, at: float, rng: random.Random
+    ) -> PlannedRequest:
+        log_mean = math.log(flow.mean) - flow.sigma**2 / 2
+        length = min(max(rng.lognormvariate(log_mean, flow.sigma), 1.0), flow.largest)
         body: dict[str, Any]
         if flow.engine:
-            body = self._chat(tag, flow, max(1, round(length)), source)
+            body = self._chat_body(tag, flow, max(1, round(length)), rng)
         else:
             body = {"trace": tag, "organisation": flow.organisation}
             body |= {"duration_ms": round(length, 1), "text": flow.marker}
-        return Plan(tag, flow, at, body, source.randrange(1 << 30), orjson.dumps(body))
+        return PlannedRequest(
+            tag, flow, at, body, rng.randrange(1 << 30), orjson.dumps(body)
+        )
 
-    def _chat(
-        self, tag: str, flow: Flow, tokens: int, source: random.Random
+    def _chat_body(
+        self, tag: str, flow: Flow, tokens: int, rng: random.Random
     ) -> dict[str, Any]:
-        # The system prompt is common to the organisation, so that prefixes are cached.
-        system = " ".join([flow.organisation, *(WORDS * 3)])
-        count = max(1, round(source.expovariate(1 / flow.prompt_words)))
-        text = " ".join(source.choices(WORDS, k=min(count, 2000)))
+        # All requests of an organisation share a system prompt, which can be cached.
+        system_prompt = " ".join([flow.organisation, *(VOCABULARY * 3)])
+        word_count = max(1, round(rng.expovariate(1 / flow.prompt_words)))
+        prompt = " ".join(rng.choices(VOCABULARY, k=min(word_count, 2000)))
         return {
             "model": flow.service,
             "max_tokens": int(flow.largest),
-            "stream": source.random() < 0.5,
+            "stream": rng.random() < 0.5,
             "user": flow.organisation,
             "metadata": {"trace": tag},
             "messages": [
-                {"role": "system", "content": system},
+                {"role": "system", "content": system_prompt},
                 {
                     "role": "user",
-                    "content": f"{text} {flow.marker} {tag} answer_tokens={tokens}",
+                    "content": f"{prompt} {flow.marker} {tag} answer_tokens={tokens}",
                 },
             ],
         }
 
 
 class Balancer:
-    """Chooses a router for each request, as the platform's balancer does."""
+    """Chooses a router for each request, as the load balancer of the platform does."""
 
     def __init__(self, urls: Sequence[str]) -> None:
         self.urls = list(urls)
-        self._up = [True] * len(urls)
-
-    def set_up(self, index: int, up: bool) -> None:
-        """Take a router out, or put it back."""
-        self._up[index] = up
-
-    def choose(self, plan: Plan, attempt: int) -> int:
-        """Return a router's index; resends go to another router when there is one."""
-        count = len(self.urls)
-        pinned = plan.flow.router
-        first = (plan.spread if pinned is None else pinned) + attempt
-        for offset in range(count):
-            index = (first + offset) % count
-            if self._up[index]:
+        self._available = [True] * len(urls)
+
+    def set_up(self, index: int, available: bool) -> None:
+        """Remove a router from the rotation, or add it again."""
+        self._available[index] = available
+
+    def choose(self, planned: PlannedRequest, attempt: int) -> int:
+        """Return a router's index; resends go to another router if there is one."""
+        router_count = len(self.urls)
+        fixed_router = planned.flow.router
+        first_index = (
+            planned.router_choice if fixed_router is None else fixed_router
+        ) + attempt
+        for offset in range(router_count):
+            index = (first_index + offset) % router_count
+            if self._available[index]:
                 return index
-        return first % count
+        return first_index % router_count
 
 
 @dataclass(slots=True)
 class LoadResult:
-    """Calls of one load and its span in seconds of the monotonic clock."""
+    """Calls of one load run, with its start and end on the monotonic clock."""
 
     began: float
     until: float
@@ -215,20 +233,20 @@
 
 
 class LoadGenerator:
-    """Sends a trace to routers and verifies each answer; it never retries by itself."""
+    """Sends a trace to routers and verifies each response; it never retries."""
 
     def __init__(self, trace: Trace, balancer: Balancer) -> None:
         self._trace = trace
         self._balancer = balancer
         self._session: aiohttp.ClientSession | None = None
-        self._pending: set[asyncio.Task[None]] = set()
+        self._pending_tasks: set[asyncio.Task[None]] = set()
         self.result = LoadResult(0.0, 0.0)
 
     async def run(self) -> LoadResult:
-        """Send the whole trace and return what the callers saw.
+        """Send the whole trace and return the calls as the callers saw them.
 
-        Calls that have no answer `DRAIN_LIMIT_S` after the last arrival are given up
-        and count as lost.
+        Calls without a response `DRAIN_TIMEOUT_S` after the end of the trace are
+        cancelled and count as lost.
         """
         connector = aiohttp.TCPConnector(limit=0, keepalive_timeout=15.0)
         timeout = aiohttp.ClientTimeout(total=None, sock_connect=5.0)
@@ -237,65 +255,74 @@
         ) as self._session:
             began = time.monotonic()
             self.result = LoadResult(began, began + self._trace.duration_s)
-            for number, flow in enumerate(self._trace.flows):
-                for worker in range(flow.workers):
-                    self._spawn(self._work(number, worker))
-            for plan in self._trace.open_loop:
-                delay = began + plan.at - time.monotonic()
+            for flow_index, flow in enumerate(self._trace.flows):
+                for worker_index in range(flow.workers):
+                    self._spawn(self._run_worker(flow_index, worker_index))
+            for planned in self._trace.open_loop:
+                delay = began + planned.at - time.monotonic()
                 if delay > 0:
                     await asyncio.sleep(delay)
-                self._spawn(self._request(plan))
+                self._spawn(self._send_request(planned))
             await asyncio.sleep(max(0.0, self.result.until - time.monotonic()))
             await self._drain()
         return self.result
 
     def _spawn(self, coroutine: Any) -> None:
         task: asyncio.Task[None] = asyncio.create_task(coroutine)
-        self._pending.add(task)
-        task.add_done_callback(self._pending.discard)
+        self._pending_tasks.add(task)
+        task.add_done_callback(self._pending_tasks.discard)
 
     async def _drain(self) -> None:
-        deadline = time.monotonic() + DRAIN_LIMIT_S
-        while self._pending and time.monotonic() < deadline:
-            await asyncio.wait(self._pending, timeout=deadline - time.monotonic())
-        for task in list(self._pending):
+        deadline = time.monotonic() + DRAIN_TIMEOUT_S
+        while self._pending_tasks and time.monotonic() < deadline:
+            await asyncio.wait(self._pending_tasks, timeout=deadline - time.monotonic())
+        for task in list(self._pending_tasks):
             task.cancel()
-        await asyncio.gather(*self._pending, return_exceptions=True)
+        await asyncio.gather(*self._pending_tasks, return_exceptions=True)
 
-    async def _work(self, number: int, worker: int) -> None:
-        flow = self._trace.flows[number]
+    async def _run_worker(self, flow_index: int, worker_index: int) -> None:
+        flow = self._trace.flows[flow_index]
         end = self.result.until
         if flow.end_s:
             end = min(end, self.result.began + flow.end_s)
-        await asyncio.sleep(flow.start_s + RAMP_S * worker / flow.workers)
-        for plan in self._trace.closed_loop(number, worker):
+        await asyncio.sleep(
+            flow.start_s + WORKER_RAMP_UP_S * worker_index / flow.workers
+        )
+        for planned in self._trace.closed_loop(flow_index, worker_index):
             if time.monotonic() >= end:
                 return
-            answered = await self._request(plan)
-            if not answered:
-                # A caller that is refused pauses, as a loop without delay would flood
-                # the fleet with requests that were never part of the trace.
+            succeeded = await self._send_request(planned)
+            if not succeeded:
+                # Refused callers pause: without a delay they would flood the fleet with
+                # more requests than the trace intends.
                 await asyncio.sleep(0.1)
 
-    async def _request(self, plan: Plan) -> bool:
-        key = f"{int(time.time())}-{plan.tag}" if plan.flow.keyed else ""
-        if not plan.flow.resends:
-            return await self._attempt(plan, key, 0)
+    async def _send_request(self, planned: PlannedRequest) -> bool:
+        key = f"{int(time.time())}-{planned.tag}" if planned.flow.keyed else ""
+        if not planned.flow.resends:
+            return await self._send_attempt(planned, key, 0)
         attempts = [
-            self._resend(plan, key, attempt) for attempt in range(plan.flow.resends + 1)
+            self._send_attempt_later(planned, key, attempt)
+            for attempt in range(planned.flow.resends + 1)
         ]
         return any(await asyncio.gather(*attempts))
 
-    async def _resend(self, plan: Plan, key: str, attempt: int) -> bool:
-        await asyncio.sleep(attempt * plan.flow.resend_after_s)
-        return await self._attempt(plan, key, attempt)
+    async def _send_attempt_later(
+        self, planned: PlannedRequest, key: str, attempt: int
+    ) -> bool:
+        await asyncio.sleep(attempt * planned.flow.resend_after_s)
+        return await self._send_attempt(planned, key, attempt)
 
-    async def _attempt(self, plan: Plan, key: str, attempt: int) -> bool:
+    async def _send_attempt(
+        self, planned: PlannedRequest, key: str, attempt: int
+    ) -> bool:
         assert self._session is not None
-        flow = plan.flow
-        target = self._balancer.choose(plan, attempt)
-        call = CallRecord(plan.tag, flow.organisation, flow.pool, key, time.monotonic())
-        call.attempt, call.target = attempt, target
+        flow = planned.flow
+        router_index = self._balancer.choose(planned, attempt)
+        call = CallRecord(
+            planned.tag, flow.organisation, flow.pool, key, time.monotonic()
+        )
+        call.attempt, call.target = attempt, router_index
         self.result.calls.append(call)
         headers = {
             "Authorization": f"Bearer {api_key(flow.organisation)}",
@@ -306,15 +333,17 @@
         received = bytearray()
         try:
             async with self._session.post(
-                self._balancer.urls[target] + plan.path,
-                data=plan.encoded,
+                self._balancer.urls[router_index] + planned.path,
+                data=planned.encoded_body,
                 headers=headers,
             ) as response:
                 call.request_id = response.headers.get("X-Request-Id", "")
-                async for part in response.content.iter_any():
+                async for chunk in response.content.iter_any():
                     call.first_byte = call.first_byte or time.monotonic()
-                    received += part
-                call.verdict = judge(plan, response, bytes(received), call)
+                    received += chunk
+                call.verdict = response_verdict(
+                    planned, response, bytes(received), call
+                )
         except aiohttp.ClientError:
             if call.first_byte is not None or call.request_id:
                 call.verdict = Verdict.INCOMPLETE
@@ -325,46 +354,51 @@
         return call.verdict is Verdict.ANSWERED
 
 
-def judge(
-    plan: Plan, response: aiohttp.ClientResponse, body: bytes, call: CallRecord
+def response_verdict(
+    planned: PlannedRequest,
+    response: aiohttp.ClientResponse,
+    body: bytes,
+    call: CallRecord,
 ) -> Verdict:
-    """Compare a whole response with the only right answer to the request."""
-    if response.content_type == PROBLEM_TYPE:
+    """Compare a complete response with the only correct one for the request."""
+    if response.content_type == PROBLEM_CONTENT_TYPE:
         problem = orjson.loads(body)
         call.code, call.ran = str(problem.get("code")), str(problem.get("ran"))
         return Verdict.REFUSED
     if response.status != 200:
         call.code = f"status_{response.status}"
         return Verdict.REFUSED
-    return judge_body(plan, body)
+    return body_verdict(planned, body)
 
 
-def judge_body(plan: Plan, body: bytes) -> Verdict:
-    """Compare the body of a response with status 200 with the right answer."""
-    if not plan.flow.engine:
-        right = expected_answer("POST", plan.endpoint_path, plan.encoded)
-        if body == right:
+def body_verdict(planned: PlannedRequest, body: bytes) -> Verdict:
+    """Compare the body of a response with status 200 with the expected one."""
+    if not planned.flow.engine:
+        expected = expected_response(
+            "POST", planned.endpoint_path, planned.encoded_body
+        )
+        if body == expected:
             return Verdict.ANSWERED
-        return Verdict.INCOMPLETE if right.startswith(body) else Verdict.WRONG
-    right_content = expected_content(plan.body)
+        return Verdict.INCOMPLETE if expected.startswith(body) else Verdict.WRONG
+    expected_text = expected_content(planned.body)
     try:
-        if plan.body["stream"]:
+        if planned.body["stream"]:
             content, complete = stream_content(body)
         else:
-            answer = orjson.loads(body)
-            content, complete = answer["choices"][0]["message"]["content"], True
+            completion = orjson.loads(body)
+            content, complete = completion["choices"][0]["message"]["content"], True
     except (ValueError, KeyError, IndexError, TypeError):
         return Verdict.WRONG
     if complete:
-        return Verdict.ANSWERED if content == right_content else Verdict.WRONG
-    if right_content.startswith(content):
+        return Verdict.ANSWERED if content == expected_text else Verdict.WRONG
+    if expected_text.startswith(content):
         return Verdict.INCOMPLETE
     return Verdict.WRONG
 
 
 def stream_content(body: bytes) -> tuple[str, bool]:
     """Return the content of a stream and whether its end marker is its last event."""
-    parts: list[str] = []
+    contents: list[str] = []
     done = False
     for event in body.split(b"\n\n"):
         data = event.removeprefix(b"data:").strip()
@@ -374,8 +408,8 @@
             done = True
         else:
             done = False
-            parts.extend(
+            contents.extend(
                 choice["delta"].get("content") or ""
                 for choice in orjson.loads(data).get("choices", ())
             )
-    return "".join(parts), done
+    return "".join(contents), done
--- a/borageworks_emulator/ports.py
+++ b/borageworks_emulator/ports.py
@@ -1,4 +1,4 @@
-"""Free ports of the loopback address."""
+"""Finds free ports on the loopback address."""
 
 from __future__ import annotations
 
@@ -7,65 +7,64 @@
 from pathlib import Path
 
 HOST = "127.0.0.1"
-LOWEST = 10_000
-RANGE_FILE = Path("/proc/sys/net/ipv4/ip_local_port_range")
-DEFAULT_EPHEMERAL = 32_768
+MIN_PORT = 10_000
+EPHEMERAL_RANGE_FILE = Path("/proc/sys/net/ipv4/ip_local_port_range")
+DEFAULT_EPHEMERAL_START = 32_768
 
 
 class PortsExhaustedError(Exception):
-    """There are not enough free ports."""
+    """Fewer ports are free than requested."""
 
 
 def free_ports(count: int) -> list[int]:
     """Return ports that are free for TCP and for UDP.
 
-    They lie below the range from which the system takes ports of outgoing connections:
-    otherwise a connection could take the port of a router or an endpoint while that is
-    down between two starts.
+    They lie below the ephemeral port range. Otherwise an outgoing connection could take
+    the port of a router or an endpoint while that restarts.
 
     Raises
     ------
     PortsExhaustedError
-        If fewer ports are free.
+        If fewer than `count` ports are free.
     """
-    highest = _lowest_ephemeral()
-    # Unseeded, so that two runs at the same time rarely choose the same ports.
-    candidates = random.sample(range(LOWEST, highest), highest - LOWEST)
-    held: list[socket.socket] = []
-    found: list[int] = []
+    end_port = _ephemeral_start()
+    # Unseeded, so that concurrent runs rarely choose the same ports.
+    candidates = random.sample(range(MIN_PORT, end_port), end_port - MIN_PORT)
+    sockets: list[socket.socket] = []
+    ports: list[int] = []
     try:
         for port in candidates:
-            if len(found) == count:
-                return found
-            opened = _open(port)
-            held.extend(opened)
-            if len(opened) == 2:
-                found.append(port)
+            if len(ports) == count:
+                return ports
+            bound = _bind(port)
+            sockets.extend(bound)
+            if len(bound) == 2:
+                ports.append(port)
     finally:
-        for one in held:
-            one.close()
-    if len(found) == count:
-        return found
-    raise PortsExhaustedError(f"{len(found)} of {count} ports are free")
+        for sock in sockets:
+            sock.close()
+    if len(ports) == count:
+        return ports
+    raise PortsExhaustedError(f"{len(ports)} of {count} ports are free")
 
 
-def _open(port: int) -> list[socket.socket]:
-    opened: list[socket.socket] = []
+def _bind(port: int) -> list[socket.socket]:
+    bound: list[socket.socket] = []
     for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM):
-        one = socket.socket(socket.AF_INET, kind)
+        sock = socket.socket(socket.AF_INET, kind)
         try:
-            one.bind((HOST, port))
+            sock.bind((HOST, port))
         except OSError:
-            one.close()
+            sock.close()
             break
-        opened.append(one)
-    return opened
+        bound.append(sock)
+    return bound
 
 
-def _lowest_ephemeral() -> int:
+def _ephemeral_start() -> int:
     try:
-        lowest = int(RANGE_FILE.read_text().split()[0])
+        start = int(EPHEMERAL_RANGE_FILE.read_text().split()[0])
     except (OSError, ValueError, IndexError):
-        return DEFAULT_EPHEMERAL
-    # A range that starts low leaves no room below it.
-    return lowest if lowest > 2 * LOWEST else DEFAULT_EPHEMERAL
+        return DEFAULT_EPHEMERAL_START
+    # An ephemeral range that starts low leaves too few ports below it.
+    return start if start > 2 * MIN_PORT else DEFAULT_EPHEMERAL_START
--- a/borageworks_emulator/recording.py
+++ b/borageworks_emulator/recording.py
@@ -1,4 +1,4 @@
-"""Records of what an emulated endpoint truly ran."""
+"""Records of the requests that an emulated endpoint ran."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from dataclasses import dataclass, field
 from enum import StrEnum
 
-BIN_S = 0.05
+BIN_WIDTH_S = 0.05
 
 
 class RunOutcome(StrEnum):
@@ -25,8 +25,8 @@
     """One request that arrived at an endpoint.
 
     `started` is None while the request waits inside the endpoint; a request that ends
-    with `started` None did not run. Times are seconds of the system's monotonic clock.
-    `tag` is the load generator's own number of the request, taken from the body.
+    with `started` None did not run. Times are seconds of the monotonic clock. `tag` is
+    the load generator's identifier of the request, taken from the body.
     """
 
     endpoint: str
@@ -44,7 +44,7 @@
 
     @property
     def ran(self) -> bool:
-        """Whether the endpoint began to run the request."""
+        """Whether the endpoint started to run the request."""
         return self.started is not None
 
 
@@ -55,9 +55,9 @@
     Attributes
     ----------
     capacity : float
-        Service units per second of the endpoint with its best number of runs.
+        Service units per second of the endpoint at its best concurrency.
     units : dict
-        Service units by organisation and time bin of `BIN_S` seconds.
+        Service units by organisation and time bin of `BIN_WIDTH_S` seconds.
     """
 
     endpoint: str
@@ -68,7 +68,9 @@
         default_factory=lambda: defaultdict(lambda: defaultdict(float))
     )
 
-    def arrive(self, organisation: str, request_id: str, key: str, tag: str) -> Run:
+    def record_arrival(
+        self, organisation: str, request_id: str, key: str, tag: str
+    ) -> Run:
         """Record the arrival of a request."""
         run = Run(
             self.endpoint,
@@ -82,22 +84,24 @@
         self.runs.append(run)
         return run
 
-    def serve(self, run: Run, now: float, units: float) -> None:
-        """Record service units given to a run at time `now`."""
+    def record_units(self, run: Run, now: float, units: float) -> None:
+        """Record service units that a run received at time `now`."""
         run.units += units
-        self.units[run.organisation][int(now / BIN_S)] += units
+        self.units[run.organisation][int(now / BIN_WIDTH_S)] += units
 
-    def serve_span(self, run: Run, since: float, until: float, rate: float) -> None:
-        """Record `rate` units per second over a span of time."""
+    def record_span(self, run: Run, since: float, until: float, rate: float) -> None:
+        """Record service units at `rate` per second over a time span."""
         bins = self.units[run.organisation]
-        first, last = int(since / BIN_S), int(until / BIN_S)
+        first, last = int(since / BIN_WIDTH_S), int(until / BIN_WIDTH_S)
         for index in range(first, last + 1):
-            overlap = min(until, (index + 1) * BIN_S) - max(since, index * BIN_S)
+            overlap = min(until, (index + 1) * BIN_WIDTH_S) - max(
+                since, index * BIN_WIDTH_S
+            )
             if overlap > 0:
                 bins[index] += overlap * rate
         run.units += (until - since) * rate
 
-    def finish(self, run: Run, outcome: RunOutcome) -> None:
+    def record_end(self, run: Run, outcome: RunOutcome) -> None:
         """Record the end of a run; only the first end counts."""
         if run.outcome is RunOutcome.OPEN:
             run.outcome = outcome
--- a/borageworks_emulator/service.py
+++ b/borageworks_emulator/service.py
@@ -12,20 +12,20 @@
 from aiohttp import web
 
 from borageworks_emulator.endpoint import (
-    IDEMPOTENCY_KEY,
-    ORGANISATION,
-    REQUEST_ID,
+    IDEMPOTENCY_KEY_HEADER,
+    ORGANISATION_HEADER,
+    REQUEST_ID_HEADER,
     EmulatedEndpoint,
 )
 from borageworks_emulator.faults import Faults
 from borageworks_emulator.recording import Recording, Run, RunOutcome
 
-DURATION = "X-Duration-Ms"
+DURATION_HEADER = "X-Duration-Ms"
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceProfile:
-    """Concurrency and limits of a run's duration of a plain service."""
+    """Concurrency and run durations of a plain service."""
 
     capacity: int = 8
     default_ms: float = 20.0
@@ -34,8 +34,8 @@
     time_scale: float = 1.0
 
 
-def expected_answer(method: str, path: str, body: bytes) -> bytes:
-    """Return the only right answer to a request."""
+def expected_response(method: str, path: str, body: bytes) -> bytes:
+    """Return the only correct response body for a request."""
     digest = xxhash.xxh64(method.upper().encode())
     digest.update(path.encode())
     digest.update(body)
@@ -51,9 +51,9 @@
 
 
 class EmulatedService(EmulatedEndpoint):
-    """A plain service; it does nothing about idempotency and runs what it gets.
+    """Plain service that runs every request and ignores idempotency keys.
 
-    A run that started goes on when its caller disconnects; a waiting one is dropped.
+    A run continues when its caller disconnects; a waiting request is cancelled.
     """
 
     def __init__(
@@ -70,7 +70,7 @@
 
     @property
     def running(self) -> int:
-        """Number of requests that run now."""
+        """Number of requests that are running."""
         return len(self._running)
 
     @property
@@ -89,23 +89,23 @@
             "incarnation": self.incarnation,
         }
 
-    def _end_all_runs(self) -> None:
+    def _drop_all_requests(self) -> None:
         for job in (*self._running, *self._waiting):
             job.crashed = True
             job.done.set()
-            self.recording.finish(job.run, RunOutcome.CRASHED)
+            self.recording.record_end(job.run, RunOutcome.CRASHED)
         self._running.clear()
         self._waiting.clear()
 
-    def _duration_s(self, request: web.Request, body: dict[str, object]) -> float:
+    def _duration_s(self, request: web.Request, fields: dict[str, object]) -> float:
         profile = self.profile
-        value = request.headers.get(DURATION, body.get("duration_ms"))
+        value = request.headers.get(DURATION_HEADER, fields.get("duration_ms"))
         try:
-            milliseconds = float(str(value))
+            duration_ms = float(str(value))
         except ValueError:
-            milliseconds = profile.default_ms
-        milliseconds = min(max(milliseconds, profile.min_ms), profile.max_ms)
-        return milliseconds * profile.time_scale * self.faults.slowdown / 1000.0
+            duration_ms = profile.default_ms
+        duration_ms = min(max(duration_ms, profile.min_ms), profile.max_ms)
+        return duration_ms * profile.time_scale * self.faults.slowdown / 1000.0
 
     def _start_runs(self) -> None:
         while self._waiting and len(self._running) < self.profile.capacity:
@@ -115,43 +115,45 @@
             self.spawn(self._run(job))
 
     async def _run(self, job: _Job) -> None:
-        since = job.run.started or 0.0
+        started = job.run.started or 0.0
         try:
             async with asyncio.timeout(job.duration_s):
                 await job.done.wait()
         except TimeoutError:
             pass
         finally:
-            self.recording.serve_span(job.run, since, time.monotonic(), 1.0)
+            self.recording.record_span(job.run, started, time.monotonic(), 1.0)
             if not job.crashed:
-                self.recording.finish(job.run, RunOutcome.COMPLETE)
+                self.recording.record_end(job.run, RunOutcome.COMPLETE)
             self._running.discard(job)
             job.done.set()
             self._start_runs()
 
     async def _handle(self, request: web.Request) -> web.StreamResponse:
-        raw = await request.read()
-        number = self._next_request()
+        request_body = await request.read()
+        number = self._next_request_number()
         request_id = request.headers.get(
-            REQUEST_ID, f"{self.recording.endpoint}-{number}"
+            REQUEST_ID_HEADER, f"{self.recording.endpoint}-{number}"
         )
-        headers = {REQUEST_ID: request_id}
-        if self._hit(self.faults.refuse_every, number, "refuse"):
+        headers = {REQUEST_ID_HEADER: request_id}
+        if self._fault_due(self.faults.refuse_every, number, "refuse"):
             return web.Response(status=503, text="overloaded", headers=headers)
-        body = _fields(raw)
-        run = self.recording.arrive(
-            request.headers.get(ORGANISATION, str(body.get("organisation", ""))),
+        fields = _json_object(request_body)
+        run = self.recording.record_arrival(
+            request.headers.get(
+                ORGANISATION_HEADER, str(fields.get("organisation", ""))
+            ),
             request_id,
-            request.headers.get(IDEMPOTENCY_KEY, str(body.get("key", ""))),
-            str(body.get("trace", "")),
+            request.headers.get(IDEMPOTENCY_KEY_HEADER, str(fields.get("key", ""))),
+            str(fields.get("trace", "")),
         )
-        if self.faults.crash_marker and self.faults.crash_marker in raw:
+        if self.faults.crash_marker and self.faults.crash_marker in request_body:
             run.started = time.monotonic()
-            self.recording.finish(run, RunOutcome.CRASHED)
+            self.recording.record_end(run, RunOutcome.CRASHED)
             self.crash()
             await asyncio.sleep(self.faults.down_s)
             return web.Response(status=500, headers=headers)
-        job = _Job(run, self._duration_s(request, body))
+        job = _Job(run, self._duration_s(request, fields))
         self._waiting.append(job)
         self._start_runs()
         try:
@@ -159,37 +161,39 @@
         finally:
             if job in self._waiting:
                 self._waiting.remove(job)
-                self.recording.finish(run, RunOutcome.CANCELLED)
+                self.recording.record_end(run, RunOutcome.CANCELLED)
         if job.crashed:
-            return _break(request, b"")
-        answer = expected_answer(request.method, request.path_qs, raw)
-        if self._hit(self.faults.late_every, number, "late"):
+            return _break_connection(request, b"")
+        response_body = expected_response(request.method, request.path_qs, request_body)
+        if self._fault_due(self.faults.late_every, number, "late"):
             await asyncio.sleep(self.faults.late_s)
-        if self._hit(self.faults.garbage_every, number, "garbage"):
-            return _break(request, b"\x00\xff not HTTP\r\n\r\n")
-        request_id, answer = await self._exchange((request_id, answer))
-        headers = {REQUEST_ID: request_id, "Content-Type": "application/json"}
-        if self._hit(self.faults.cut_every, number, "cut"):
+        if self._fault_due(self.faults.garbage_every, number, "garbage"):
+            return _break_connection(request, b"\x00\xff not HTTP\r\n\r\n")
+        request_id, response_body = await self._exchange_response(
+            (request_id, response_body)
+        )
+        headers = {REQUEST_ID_HEADER: request_id, "Content-Type": "application/json"}
+        if self._fault_due(self.faults.cut_every, number, "cut"):
             response = web.StreamResponse(headers=headers)
-            response.content_length = len(answer)
+            response.content_length = len(response_body)
             await response.prepare(request)
-            await response.write(answer[: len(answer) // 2])
-            return _break(request, b"")
-        return web.Response(body=answer, headers=headers)
+            await response.write(response_body[: len(response_body) // 2])
+            return _break_connection(request, b"")
+        return web.Response(body=response_body, headers=headers)
 
 
-def _break(request: web.Request, data: bytes) -> web.StreamResponse:
-    """Write bytes to the connection and close it without a complete answer."""
+def _break_connection(request: web.Request, data: bytes) -> web.StreamResponse:
+    """Write bytes to the connection and close it before a complete response."""
     if request.transport is not None:
         request.transport.write(data)
         request.transport.close()
-    # The connection is closed, so this answer is never written.
+    # The connection is closed, so this response is never written.
     return web.Response()
 
 
-def _fields(raw: bytes) -> dict[str, object]:
+def _json_object(body: bytes) -> dict[str, object]:
     try:
-        body = orjson.loads(raw)
+        document = orjson.loads(body)
     except ValueError:
         return {}
-    return body if isinstance(body, dict) else {}
+    return document if isinstance(document, dict) else {}
--- a/borageworks_emulator/store.py
+++ b/borageworks_emulator/store.py
@@ -1,4 +1,4 @@
-"""In-memory store behind the etcd v3 HTTP/JSON gateway form, with faults."""
+"""In-memory store with the etcd v3 HTTP/JSON gateway API and fault injection."""
 
 from __future__ import annotations
 
@@ -16,27 +16,27 @@
 
 from borageworks.timers import Subscription, Timers
 
-VALUE_BYTES_MAX = 1_000_000
-REQUEST_BYTES_MAX = 4 * VALUE_BYTES_MAX
-TXN_OPERATIONS_MAX = 128
-# Bounds the memory of a long run: twice this many values of 16 KB are 64 MB.
-HISTORY_EVENTS = 2_000
+MAX_VALUE_BYTES = 1_000_000
+MAX_REQUEST_BYTES = 4 * MAX_VALUE_BYTES
+MAX_TXN_OPERATIONS = 128
+# Limits the memory of a long run: twice this number of 16 KB values is 64 MB.
+DEFAULT_HISTORY_EVENTS = 2_000
 SHUTDOWN_TIMEOUT_S = 0.1
-# A watch whose client has gone is noticed after at most this time.
-WATCH_CHECK_S = 0.5
+# Maximum time until a watch notices that its client has disconnected.
+WATCH_CHECK_INTERVAL_S = 0.5
 GRPC_INVALID_ARGUMENT = 3
 GRPC_NOT_FOUND = 5
 GRPC_RESOURCE_EXHAUSTED = 8
 GRPC_OUT_OF_RANGE = 11
 GRPC_UNAVAILABLE = 14
-HTTP_STATUS = {
+HTTP_STATUS_BY_GRPC_CODE = {
     GRPC_INVALID_ARGUMENT: 400,
     GRPC_NOT_FOUND: 404,
     GRPC_RESOURCE_EXHAUSTED: 429,
     GRPC_OUT_OF_RANGE: 400,
     GRPC_UNAVAILABLE: 503,
 }
-COMPARISONS: Mapping[str, Callable[[Any, Any], bool]] = {
+COMPARISON_OPERATORS: Mapping[str, Callable[[Any, Any], bool]] = {
     "EQUAL": operator.eq,
     "NOT_EQUAL": operator.ne,
     "GREATER": operator.gt,
@@ -46,7 +46,7 @@
 
 
 class GatewayError(Exception):
-    """An error answer of the gateway, with its gRPC status code."""
+    """An error reply of the gateway, with its gRPC status code."""
 
     def __init__(self, code: int, message: str) -> None:
         super().__init__(message)
@@ -55,7 +55,7 @@
 
 @dataclass(slots=True)
 class StoreFaults:
-    """Switches for faults; all are off at the start.
+    """Fault switches; all are off by default.
 
     Parameters
     ----------
@@ -64,13 +64,14 @@
     reply_delay_s
         Seconds between the effect of a call and its reply.
     lost_replies
-        Number of next writes that take effect and lose their reply.
+        Number of upcoming writes that take effect but whose reply is lost.
     lost_requests
-        Number of next writes whose connection closes before they take effect.
+        Number of upcoming writes whose connection is aborted before they take effect.
     reads_per_second, writes_per_second
-        Rate limits; calls above them are refused.
+        Rate limits; calls above them are refused. None is unlimited.
     blocked_sources
-        IP addresses whose calls are refused; open watches end with `break_watches`.
+        IP addresses whose calls are refused. Their open watches continue until
+        `break_watches`.
     """
 
     delay_s: float = 0.0
@@ -84,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KeyVersion:
-    """One version of a key; `value` is None for its deletion."""
+    """One version of a key; `value` is None for a deletion."""
 
     key: bytes
     value: bytes | None
@@ -94,7 +95,7 @@
     lease: int
 
     def json(self) -> dict[str, str]:
-        """Return the version in the form of the gateway."""
+        """Return the version in the JSON form of the gateway."""
         fields = {
             "key": b64encode(self.key).decode(),
             "mod_revision": str(self.mod_revision),
@@ -109,7 +110,7 @@
 
 
 @dataclass(slots=True)
-class HeldLease:
+class Lease:
     """A lease and the keys attached to it."""
 
     ttl_s: int
@@ -117,8 +118,8 @@
     keys: set[bytes] = field(default_factory=set)
 
 
-class RateLimit:
-    """Token bucket that holds a tenth of a second's calls, at least one."""
+class TokenBucket:
+    """Token bucket with a capacity of 0.1 s of calls, but at least one call."""
 
     def __init__(self) -> None:
         self._tokens: float | None = None
@@ -132,8 +133,8 @@
         if self._tokens is None:
             self._tokens = burst
         else:
-            passed = (now - self._updated) * rate
-            self._tokens = min(burst, self._tokens + passed)
+            refill = (now - self._updated) * rate
+            self._tokens = min(burst, self._tokens + refill)
         self._updated = now
         if self._tokens < 1:
             return False
@@ -142,33 +143,33 @@
 
 
 class EmulatedStore:
-    """The store's gateway as an HTTP server.
+    """Emulated etcd gateway as an HTTP server.
 
     Parameters
     ----------
     faults
-        Switches for faults.
+        Fault switches.
     history_events
-        Number of changes that are kept at least; older ones are compacted.
+        Minimum number of changes in the history; older ones are compacted.
 
     Attributes
     ----------
     faults
-        Switches for faults.
+        Fault switches.
     calls
         Calls received by kind, including refused ones: `range`, `txn`, `lease_grant`,
         `lease_keepalive` and `watch`.
     refused
-        Calls refused by a fault, by kind.
+        Calls refused because of a fault, by kind.
     bytes_written
-        Bytes of all values put.
+        Total bytes of all values put.
     """
 
     def __init__(
         self,
         faults: StoreFaults | None = None,
         *,
-        history_events: int = HISTORY_EVENTS,
+        history_events: int = DEFAULT_HISTORY_EVENTS,
     ) -> None:
         self._history_events = history_events
         self.faults = faults or StoreFaults()
@@ -177,13 +178,13 @@
         self.bytes_written = 0
         self._unavailable = False
         self._revision = 1
-        self._compacted = 0
+        self._compacted_revision = 0
         self._versions: dict[bytes, list[KeyVersion]] = {}
         self._events: list[KeyVersion] = []
-        self._leases: dict[int, HeldLease] = {}
-        self._lease_ids = 0
-        self._limits = {True: RateLimit(), False: RateLimit()}
-        self._watches = 0
+        self._leases: dict[int, Lease] = {}
+        self._last_lease_id = 0
+        self._token_buckets = {True: TokenBucket(), False: TokenBucket()}
+        self._watch_count = 0
         self._watch_epoch = 0
         self._changed = asyncio.Event()
         self._timers: Timers | None = None
@@ -192,7 +193,7 @@
 
     @property
     def url(self) -> str:
-        """Base address of the gateway."""
+        """Base URL of the gateway."""
         return self._url
 
     @property
@@ -202,8 +203,8 @@
 
     @property
     def watches(self) -> int:
-        """Number of watches that are open."""
-        return self._watches
+        """Number of open watches."""
+        return self._watch_count
 
     @property
     def unavailable(self) -> bool:
@@ -217,16 +218,16 @@
             self.break_watches()
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> None:
-        """Listen at an address; port 0 takes a free one. Data outlasts a stop."""
+        """Listen on an address; port 0 selects a free port. Data survives a stop."""
         self._timers = Timers()
         for lease_id, lease in self._leases.items():
-            lease.timer = self._expiry(lease_id, lease.ttl_s)
-        application = web.Application(client_max_size=REQUEST_BYTES_MAX)
+            lease.timer = self._start_expiry_timer(lease_id, lease.ttl_s)
+        application = web.Application(client_max_size=MAX_REQUEST_BYTES)
         for path, kind, handler in (
             ("/v3/kv/range", "range", self._range),
             ("/v3/kv/txn", "txn", self._txn),
-            ("/v3/lease/grant", "lease_grant", self._grant),
-            ("/v3/lease/keepalive", "lease_keepalive", self._keep_alive),
+            ("/v3/lease/grant", "lease_grant", self._lease_grant),
+            ("/v3/lease/keepalive", "lease_keepalive", self._lease_keep_alive),
         ):
             application.router.add_post(path, self._unary(kind, handler))
         application.router.add_post("/v3/watch", self._watch)
@@ -251,16 +252,16 @@
             self._runner = None
 
     def compact(self, revision: int) -> None:
-        """Forget the history before `revision`."""
-        self._compacted = revision
+        """Remove the history before `revision`."""
+        self._compacted_revision = revision
         self._events = [e for e in self._events if e.mod_revision >= revision]
         for key, versions in list(self._versions.items()):
             older = [v for v in versions if v.mod_revision <= revision]
-            kept = versions[max(0, len(older) - 1) :]
-            if kept[-1].value is None and kept[-1].mod_revision <= revision:
+            retained = versions[max(0, len(older) - 1) :]
+            if retained[-1].value is None and retained[-1].mod_revision <= revision:
                 del self._versions[key]
             else:
-                self._versions[key] = kept
+                self._versions[key] = retained
         self._notify()
 
     def break_watches(self) -> None:
@@ -285,15 +286,15 @@
             except GatewayError as error:
                 if error.code in {GRPC_UNAVAILABLE, GRPC_RESOURCE_EXHAUSTED}:
                     self.refused[kind] += 1
-                return _json(
+                return _json_response(
                     {"code": error.code, "message": str(error)},
-                    HTTP_STATUS[error.code],
+                    HTTP_STATUS_BY_GRPC_CODE[error.code],
                 )
             if write and self.faults.lost_replies > 0:
                 self.faults.lost_replies -= 1
                 return _abort(request)
             await asyncio.sleep(self.faults.reply_delay_s)
-            return _json(reply, 200)
+            return _json_response(reply, 200)
 
         return handle
 
@@ -303,7 +304,7 @@
         now = asyncio.get_running_loop().time()
         faults = self.faults
         rate = faults.writes_per_second if write else faults.reads_per_second
-        if not self._limits[write].take(now, rate):
+        if not self._token_buckets[write].take(now, rate):
             raise GatewayError(GRPC_RESOURCE_EXHAUSTED, "etcdserver: too many requests")
 
     def _header(self) -> dict[str, str]:
@@ -319,34 +320,34 @@
         key = b64decode(body["key"])
         end = b64decode(body.get("range_end", ""))
         revision = int(body.get("revision", 0)) or self._revision
-        if revision < self._compacted:
+        if revision < self._compacted_revision:
             raise GatewayError(
                 GRPC_OUT_OF_RANGE,
                 "etcdserver: mvcc: required revision has been compacted",
             )
         keys = sorted(k for k in self._versions if key <= k < end) if end else [key]
-        found = []
+        matches = []
         for candidate in keys:
             versions = self._versions.get(candidate, ())
-            seen = [v for v in versions if v.mod_revision <= revision]
-            if seen and seen[-1].value is not None:
-                found.append(seen[-1])
-        limit = int(body.get("limit", 0)) or len(found)
-        reply: dict[str, Any] = {"header": self._header(), "count": str(len(found))}
-        if found:
-            reply["kvs"] = [version.json() for version in found[:limit]]
-        if len(found) > limit:
+            visible = [v for v in versions if v.mod_revision <= revision]
+            if visible and visible[-1].value is not None:
+                matches.append(visible[-1])
+        limit = int(body.get("limit", 0)) or len(matches)
+        reply: dict[str, Any] = {"header": self._header(), "count": str(len(matches))}
+        if matches:
+            reply["kvs"] = [version.json() for version in matches[:limit]]
+        if len(matches) > limit:
             reply["more"] = True
         return reply
 
     def _txn(self, body: Mapping[str, Any]) -> dict[str, Any]:
         compares = body.get("compare", [])
         operations = body.get("success", [])
-        if max(len(compares), len(operations)) > TXN_OPERATIONS_MAX:
+        if max(len(compares), len(operations)) > MAX_TXN_OPERATIONS:
             raise GatewayError(
                 GRPC_INVALID_ARGUMENT, "etcdserver: too many operations in txn request"
             )
-        succeeded = all(self._holds(compare) for compare in compares)
+        succeeded = all(self._compare_holds(compare) for compare in compares)
         if not succeeded:
             operations = body.get("failure", [])
         self._check_operations(operations)
@@ -356,7 +357,7 @@
             reply["succeeded"] = True
         return reply
 
-    def _holds(self, compare: Mapping[str, Any]) -> bool:
+    def _compare_holds(self, compare: Mapping[str, Any]) -> bool:
         version = self._current(b64decode(compare["key"]))
         actual: object
         expected: object
@@ -377,25 +378,25 @@
                 expected = b64decode(compare.get("value", ""))
             case other:
                 raise GatewayError(GRPC_INVALID_ARGUMENT, f"unknown target {other}")
-        return COMPARISONS[compare.get("result", "EQUAL")](actual, expected)
+        return COMPARISON_OPERATORS[compare.get("result", "EQUAL")](actual, expected)
 
     def _check_operations(self, operations: list[Mapping[str, Any]]) -> None:
-        written: set[bytes] = set()
+        written_keys: set[bytes] = set()
         for operation in operations:
             name, fields = next(iter(operation.items()))
             key = b64decode(fields["key"])
             match name:
                 case "request_put":
-                    if len(b64decode(fields.get("value", ""))) > VALUE_BYTES_MAX:
+                    if len(b64decode(fields.get("value", ""))) > MAX_VALUE_BYTES:
                         raise GatewayError(
                             GRPC_INVALID_ARGUMENT, "etcdserver: request is too large"
                         )
-                    if key in written:
+                    if key in written_keys:
                         raise GatewayError(
                             GRPC_INVALID_ARGUMENT,
                             "etcdserver: duplicate key given in txn request",
                         )
-                    written.add(key)
+                    written_keys.add(key)
                     lease = int(fields.get("lease", 0))
                     if lease and lease not in self._leases:
                         raise GatewayError(
@@ -428,56 +429,56 @@
         return responses
 
     def _put(self, revision: int, key: bytes, value: bytes, lease: int) -> None:
-        before = self._current(key)
+        previous = self._current(key)
         self.bytes_written += len(value)
-        if before is not None and before.lease:
-            self._leases[before.lease].keys.discard(key)
+        if previous is not None and previous.lease:
+            self._leases[previous.lease].keys.discard(key)
         if lease:
             self._leases[lease].keys.add(key)
         version = KeyVersion(
             key,
             value,
-            before.create_revision if before else revision,
+            previous.create_revision if previous else revision,
             revision,
-            before.version + 1 if before else 1,
+            previous.version + 1 if previous else 1,
             lease,
         )
-        self._append(version)
+        self._append_version(version)
 
     def _delete(self, revision: int, key: bytes) -> int:
-        before = self._current(key)
-        if before is None:
+        previous = self._current(key)
+        if previous is None:
             return 0
-        if before.lease in self._leases:
-            self._leases[before.lease].keys.discard(key)
-        self._append(KeyVersion(key, None, 0, revision, 0, 0))
+        if previous.lease in self._leases:
+            self._leases[previous.lease].keys.discard(key)
+        self._append_version(KeyVersion(key, None, 0, revision, 0, 0))
         return 1
 
-    def _append(self, version: KeyVersion) -> None:
+    def _append_version(self, version: KeyVersion) -> None:
         self._revision = version.mod_revision
         self._versions.setdefault(version.key, []).append(version)
         self._events.append(version)
         if len(self._events) > 2 * self._history_events:
             self.compact(self._events[-self._history_events].mod_revision)
 
-    def _grant(self, body: Mapping[str, Any]) -> dict[str, Any]:
+    def _lease_grant(self, body: Mapping[str, Any]) -> dict[str, Any]:
         ttl = int(body["TTL"])
-        self._lease_ids += 1
-        lease_id = int(body.get("ID", 0)) or self._lease_ids
-        self._leases[lease_id] = HeldLease(ttl, self._expiry(lease_id, ttl))
+        self._last_lease_id += 1
+        lease_id = int(body.get("ID", 0)) or self._last_lease_id
+        self._leases[lease_id] = Lease(ttl, self._start_expiry_timer(lease_id, ttl))
         return {"header": self._header(), "ID": str(lease_id), "TTL": str(ttl)}
 
-    def _keep_alive(self, body: Mapping[str, Any]) -> dict[str, Any]:
+    def _lease_keep_alive(self, body: Mapping[str, Any]) -> dict[str, Any]:
         lease_id = int(body["ID"])
         lease = self._leases.get(lease_id)
         result = {"header": self._header(), "ID": str(lease_id)}
         if lease is not None:
             lease.timer.cancel()
-            lease.timer = self._expiry(lease_id, lease.ttl_s)
+            lease.timer = self._start_expiry_timer(lease_id, lease.ttl_s)
             result["TTL"] = str(lease.ttl_s)
         return {"result": result}
 
-    def _expiry(self, lease_id: int, ttl_s: int) -> Subscription:
+    def _start_expiry_timer(self, lease_id: int, ttl_s: int) -> Subscription:
         assert self._timers is not None
 
         def expire(_now: float) -> None:
@@ -499,49 +500,54 @@
             self._admit(request, write=False)
         except GatewayError as error:
             self.refused["watch"] += 1
-            return _json(
-                {"code": error.code, "message": str(error)}, HTTP_STATUS[error.code]
+            return _json_response(
+                {"code": error.code, "message": str(error)},
+                HTTP_STATUS_BY_GRPC_CODE[error.code],
             )
-        create = orjson.loads(await request.read())["create_request"]
-        key = b64decode(create["key"])
-        end = b64decode(create.get("range_end", "")) or key + b"\0"
-        following = int(create.get("start_revision", 0)) or self._revision + 1
+        create_request = orjson.loads(await request.read())["create_request"]
+        key = b64decode(create_request["key"])
+        end = b64decode(create_request.get("range_end", "")) or key + b"\0"
+        next_revision = (
+            int(create_request.get("start_revision", 0)) or self._revision + 1
+        )
         response = web.StreamResponse()
         await response.prepare(request)
-        self._watches += 1
+        self._watch_count += 1
         epoch = self._watch_epoch
         try:
-            await _send(response, {"header": self._header(), "created": True})
+            await _send_result(response, {"header": self._header(), "created": True})
             while True:
                 changed = self._changed
-                if following < self._compacted:
-                    await _send(
+                if next_revision < self._compacted_revision:
+                    await _send_result(
                         response,
                         {
                             "header": self._header(),
                             "canceled": True,
-                            "compact_revision": str(self._compacted),
+                            "compact_revision": str(self._compacted_revision),
                         },
                     )
                     return response
-                events = self._events_from(following, key, end)
-                following = self._revision + 1
+                events = self._events_from(next_revision, key, end)
+                next_revision = self._revision + 1
                 if events:
-                    await _send(response, {"header": self._header(), "events": events})
+                    await _send_result(
+                        response, {"header": self._header(), "events": events}
+                    )
                     continue
                 with suppress(TimeoutError):
-                    async with asyncio.timeout(WATCH_CHECK_S):
+                    async with asyncio.timeout(WATCH_CHECK_INTERVAL_S):
                         await changed.wait()
                 closed = request.transport is None or request.transport.is_closing()
                 if closed or epoch != self._watch_epoch:
                     return _abort(request)
         finally:
-            self._watches -= 1
+            self._watch_count -= 1
 
     def _events_from(
         self, revision: int, start: bytes, end: bytes
     ) -> list[dict[str, Any]]:
-        found: list[dict[str, Any]] = []
+        events: list[dict[str, Any]] = []
         for version in reversed(self._events):
             if version.mod_revision < revision:
                 break
@@ -549,9 +555,9 @@
                 event: dict[str, Any] = {"kv": version.json()}
                 if version.value is None:
                     event["type"] = "DELETE"
-                found.append(event)
-        found.reverse()
-        return found
+                events.append(event)
+        events.reverse()
+        return events
 
 
 def _abort(request: web.Request) -> web.Response:
@@ -560,11 +566,11 @@
     return web.Response(status=503)
 
 
-def _json(reply: Mapping[str, Any], status: int) -> web.Response:
+def _json_response(reply: Mapping[str, Any], status: int) -> web.Response:
     return web.Response(
         body=orjson.dumps(reply), status=status, content_type="application/json"
     )
 
 
-async def _send(response: web.StreamResponse, result: Mapping[str, Any]) -> None:
+async def _send_result(response: web.StreamResponse, result: Mapping[str, Any]) -> None:
     await response.write(orjson.dumps({"result": result}) + b"\n")
--- a/borageworks_emulator/tests/test_central.py
+++ b/borageworks_emulator/tests/test_central.py
@@ -11,7 +11,7 @@
 from borageworks_emulator.load import Flow, Trace
 from borageworks_emulator.topology import PATITSA
 
-SMALL = replace(
+SMALL_TOPOLOGY = replace(
     PATITSA,
     engines=2,
     services=1,
@@ -20,8 +20,8 @@
 
 
 class CentralPoolTest(testtools.TestCase):
-    def test_service_follows_shares_when_cost_is_known_late(self):
-        """Guards against a baseline that is unfair or ignores real cost."""
+    def test_service_follows_shares_when_cost_is_known_after_the_run(self):
+        """Guards against a baseline that is unfair or charges only estimated cost."""
 
         async def main():
             slot = Slot("url", 2)
@@ -31,17 +31,17 @@
 
             async def caller(name):
                 while sum(received.values()) < 4000:
-                    held, charged = await pool.acquire(name)
+                    acquired, charged = await pool.acquire(name)
                     await asyncio.sleep(0)
                     if sum(received.values()) < 4000:
                         received[name] += cost[name]
-                    pool.release(name, held, charged, cost[name])
+                    pool.release(name, acquired, charged, cost[name])
 
             await asyncio.gather(*(caller(n) for n in "ab" for _ in range(5)))
             return received
 
         received = asyncio.run(main())
-        # The section 6 bound of the design page with D = 2 and these costs.
+        # Fairness bound of section 6 of the design page, with D = 2 and these costs.
         bound = 3 * (2.0 / 3.0 + 5.0)
         self.assertTrue(abs(received["a"] / 3.0 - received["b"]) <= bound, received)
 
@@ -51,11 +51,11 @@
         async def main():
             slot = Slot("url", 1)
             pool = CentralPool({"a": 1.0}, [slot], 1.0)
-            held, charged = await pool.acquire("a")
+            acquired, charged = await pool.acquire("a")
             waiting = [asyncio.create_task(pool.acquire("a")) for _ in range(2)]
             await asyncio.sleep(0)
             waiting[0].cancel()
-            pool.release("a", held, charged, 1.0)
+            pool.release("a", acquired, charged, 1.0)
             waiting[1].cancel()
             await asyncio.gather(*waiting, return_exceptions=True)
             return slot.in_use
@@ -64,18 +64,18 @@
 
 
 class CentralRunTest(testtools.TestCase):
-    def test_every_answer_arrives_and_nothing_doubles(self):
-        """Guards against a baseline that loses work and so looks worse than it is."""
+    def test_every_response_arrives_and_no_key_runs_twice(self):
+        """Guards against a baseline whose lost requests make it look worse."""
         flows = [
             Flow("org-0", "quotes", "models", workers=12, mean=4.0),
             Flow("org-3", "quotes", "models", workers=12, mean=4.0),
             Flow("org-4", "orders", "desks", engine=False, rate=40.0, keyed=True),
         ]
-        run = asyncio.run(run_central(SMALL, Trace(flows, 1, 1.0)))
+        run = asyncio.run(run_central(SMALL_TOPOLOGY, Trace(flows, 1, 1.0)))
         measures = run.measures
         self.assertEqual(len(run.load.calls), measures.answers)
         self.assertEqual((0, 0), (measures.wrong, measures.doubled))
         self.assertTrue(measures.fairness_gap["models"] > 0.0)
         for endpoint in run.endpoints:
             for record in endpoint.recording.runs:
-                self.assertTrue(record.organisation in SMALL.shares)
+                self.assertTrue(record.organisation in SMALL_TOPOLOGY.shares)
--- a/borageworks_emulator/tests/test_engine.py
+++ b/borageworks_emulator/tests/test_engine.py
@@ -16,7 +16,7 @@
 from borageworks_emulator.recording import RunOutcome
 from borageworks_emulator.tests.waiting import until
 
-FAST = EngineProfile(base_ms=0.5, per_slot_ms=0.1, prompt_token_ms=0.0)
+FAST_PROFILE = EngineProfile(base_ms=0.5, per_slot_ms=0.1, prefill_token_ms=0.0)
 
 
 def _chat(text, **fields):
@@ -38,14 +38,14 @@
     ]
 
 
-def _streamed(raw):
+def _stream_content(raw):
     chunks = [orjson.loads(event) for event in _events(raw) if event != b"[DONE]"]
     return "".join(
         choice["delta"].get("content", "") for c in chunks for choice in c["choices"]
     )
 
 
-def _run_with_engine(body, profile=FAST):
+def _run_with_engine(case, profile=FAST_PROFILE):
     async def main():
         engine = EmulatedEngine("e1", "models", profile)
         await engine.start()
@@ -53,11 +53,11 @@
             async with aiohttp.ClientSession(
                 f"http://127.0.0.1:{engine.port}"
             ) as session:
-                return await body(engine, session)
+                return await case(engine, session)
         finally:
             await engine.stop()
 
-    # The loop of the commands: its transports differ from those of asyncio.
+    # The commands run on uvloop, whose transports differ from those of asyncio.
     return run_loop(main())
 
 
@@ -69,19 +69,19 @@
 
 
 class EngineTest(testtools.TestCase):
-    def test_plain_answer_is_the_expected_one(self):
-        """Guards against an answer that the load generator could not verify."""
+    def test_complete_response_has_the_expected_content(self):
+        """Guards against a response that the load generator cannot verify."""
         body = _chat("hello answer_tokens=9")
 
         async def case(engine, session):
             response, raw = await _post(session, body, **{"X-Request-Id": "r1"})
             return response.headers["X-Request-Id"], orjson.loads(raw), engine
 
-        request_id, answer, engine = _run_with_engine(case)
+        request_id, completion, engine = _run_with_engine(case)
         self.assertEqual("r1", request_id)
-        content = answer["choices"][0]["message"]["content"]
+        content = completion["choices"][0]["message"]["content"]
         self.assertEqual(expected_content(body), content)
-        self.assertEqual(9, answer["usage"]["completion_tokens"])
+        self.assertEqual(9, completion["usage"]["completion_tokens"])
         [run] = engine.recording.runs
         self.assertEqual(
             ("org-1", "r1", "7"), (run.organisation, run.request_id, run.tag)
@@ -90,14 +90,14 @@
         self.assertAlmostEqual(9 + 0.1 * 3, run.units)
 
     def test_stream_has_one_token_per_chunk_and_an_end_marker(self):
-        """Guards against streams whose end a router cannot recognise."""
+        """Guards against a stream whose end a router cannot detect."""
         body = _chat(
             "s answer_tokens=5", stream=True, stream_options={"include_usage": True}
         )
         raw = _run_with_engine(lambda engine, session: _post(session, body))[1]
         self.assertEqual(b"[DONE]", _events(raw)[-1])
         self.assertEqual(5 + 3, len(_events(raw)))
-        self.assertEqual(expected_content(body), _streamed(raw))
+        self.assertEqual(expected_content(body), _stream_content(raw))
 
     def test_resume_sends_the_rest_from_any_byte(self):
         """Guards against lost or repeated bytes when a stream is resumed."""
@@ -106,26 +106,30 @@
 
         async def case(engine, session):
             return [
-                _streamed((await _post(session, body, **{"Resume-Offset": str(at)}))[1])
-                for at in range(len(whole) + 1)
+                _stream_content(
+                    (await _post(session, body, **{"Resume-Offset": str(offset)}))[1]
+                )
+                for offset in range(len(whole) + 1)
             ]
 
-        rests = _run_with_engine(case)
-        self.assertEqual([whole[at:] for at in range(len(whole) + 1)], rests)
+        remainders = _run_with_engine(case)
+        self.assertEqual(
+            [whole[offset:] for offset in range(len(whole) + 1)], remainders
+        )
 
     def test_batch_limit_makes_requests_wait_in_arrival_order(self):
-        """Guards against an engine that runs more than its batch or reorders."""
+        """Guards against exceeding the batch limit and reordering of requests."""
         profile = EngineProfile(
-            base_ms=0.5, per_slot_ms=0.1, prompt_token_ms=0.0, batch_limit=2
+            base_ms=0.5, per_slot_ms=0.1, prefill_token_ms=0.0, batch_limit=2
         )
 
         async def case(engine, session):
-            largest = 0
+            max_running = 0
 
             async def watch():
-                nonlocal largest
+                nonlocal max_running
                 while True:
-                    largest = max(largest, engine.running)
+                    max_running = max(max_running, engine.running)
                     await asyncio.sleep(0)
 
             watcher = asyncio.create_task(watch())
@@ -133,15 +137,15 @@
                 *(_post(session, _chat(f"{i} answer_tokens=4")) for i in range(8))
             )
             watcher.cancel()
-            return largest, engine.recording.runs
+            return max_running, engine.recording.runs
 
-        largest, runs = _run_with_engine(case, profile)
-        self.assertEqual(2, largest)
+        max_running, runs = _run_with_engine(case, profile)
+        self.assertEqual(2, max_running)
         starts = [run.started for run in runs]
         self.assertEqual(sorted(starts), starts)
 
-    def test_request_with_a_free_place_is_not_waiting(self):
-        """Guards against load reports that make routers shrink a window in vain."""
+    def test_request_with_a_free_slot_is_not_waiting(self):
+        """Guards against load reports that make routers shrink a window needlessly."""
 
         async def case(engine, session):
             calls = [
@@ -153,11 +157,11 @@
             await asyncio.gather(*calls)
             return seen
 
-        slow = EngineProfile(base_ms=200.0, batch_limit=2)
-        self.assertEqual((2, 1), _run_with_engine(case, slow))
+        slow_profile = EngineProfile(base_ms=200.0, batch_limit=2)
+        self.assertEqual((2, 1), _run_with_engine(case, slow_profile))
 
     def test_disconnect_cancels_the_run(self):
-        """Guards against units charged for answers that nobody reads."""
+        """Guards against service units spent on responses that nobody reads."""
 
         async def case(engine, session):
             body = _chat("long answer_tokens=50", stream=True)
@@ -167,12 +171,12 @@
             await until(lambda: not engine.running)
             return engine.recording.runs
 
-        slow = EngineProfile(base_ms=20.0)
-        [run] = _run_with_engine(case, slow)
+        slow_profile = EngineProfile(base_ms=20.0)
+        [run] = _run_with_engine(case, slow_profile)
         self.assertEqual(RunOutcome.CANCELLED, run.outcome)
 
     def test_crash_marker_breaks_all_connections_and_changes_the_incarnation(self):
-        """Guards against a crash that only the crashing request notices."""
+        """Guards against a crash that affects only the request that caused it."""
 
         async def case(engine, session):
             engine.faults.crash_marker = b"poison"
@@ -201,8 +205,8 @@
             [run.outcome for run in engine.recording.runs],
         )
 
-    def test_crossed_answers_carry_the_other_request_id(self):
-        """Guards against a fault that routers could not detect by the request id."""
+    def test_crossed_responses_carry_the_other_request_id(self):
+        """Guards against crossed responses that routers cannot detect by request id."""
 
         async def case(engine, session):
             engine.faults.crossed = 1
@@ -221,14 +225,14 @@
         self.assertEqual("b", first.headers["X-Request-Id"])
         self.assertEqual("a", second.headers["X-Request-Id"])
         self.assertEqual(
-            expected_content(_chat("b answer_tokens=3")), _streamed(first_raw)
+            expected_content(_chat("b answer_tokens=3")), _stream_content(first_raw)
         )
         self.assertEqual(
-            expected_content(_chat("a answer_tokens=3")), _streamed(second_raw)
+            expected_content(_chat("a answer_tokens=3")), _stream_content(second_raw)
         )
 
     def test_cut_stream_has_no_end_marker(self):
-        """Guards against a cut that looks like a complete answer."""
+        """Guards against a cut stream that looks like a complete response."""
 
         async def case(engine, session):
             engine.faults.cut_every = 1
@@ -238,8 +242,8 @@
             )
             raw = b""
             try:
-                async for part in response.content.iter_any():
-                    raw += part
+                async for chunk in response.content.iter_any():
+                    raw += chunk
             except aiohttp.ClientPayloadError:
                 return raw
             return None
@@ -247,8 +251,8 @@
         raw = _run_with_engine(case)
         self.assertEqual(2, len(_events(raw)))
 
-    def test_refusal_runs_nothing(self):
-        """Guards against a refused request that counts as run."""
+    def test_refused_request_does_not_run(self):
+        """Guards against a refused request that is recorded as run."""
 
         async def case(engine, session):
             engine.faults.refuse_every = 1
@@ -257,7 +261,7 @@
 
         self.assertEqual((503, []), _run_with_engine(case))
 
-    def test_load_report_is_frozen(self):
+    def test_frozen_load_report_does_not_change(self):
         """Guards against a frozen report that still follows the engine."""
 
         async def case(engine, session):
@@ -277,8 +281,8 @@
 
 
 class PrefixCacheTest(testtools.TestCase):
-    def test_only_unbroken_prefixes_count_and_size_is_bounded(self):
-        """Guards against prompt cost that ignores order or an unbounded cache."""
+    def test_only_contiguous_prefixes_count_and_size_is_bounded(self):
+        """Guards against cache hits that ignore token order, and an unbounded cache."""
         cache = PrefixCache(64)
         words = [str(i) for i in range(32)]
         self.assertEqual(0, cache.lookup(words))
--- a/borageworks_emulator/tests/test_service.py
+++ b/borageworks_emulator/tests/test_service.py
@@ -6,17 +6,17 @@
 import testtools
 
 from borageworks.commands.loop import run_loop
-from borageworks_emulator.analysis import doubled
+from borageworks_emulator.analysis import count_repeated_keys
 from borageworks_emulator.recording import RunOutcome
 from borageworks_emulator.service import (
     EmulatedService,
     ServiceProfile,
-    expected_answer,
+    expected_response,
 )
 from borageworks_emulator.tests.waiting import until
 
 
-def _run_with_service(body, profile=None):
+def _run_with_service(case, profile=None):
     async def main():
         service = EmulatedService("s1", "orders", profile or ServiceProfile())
         await service.start()
@@ -24,17 +24,17 @@
             async with aiohttp.ClientSession(
                 f"http://127.0.0.1:{service.port}"
             ) as session:
-                return await body(service, session)
+                return await case(service, session)
         finally:
             await service.stop()
 
-    # The loop of the commands: its transports differ from those of asyncio.
+    # The commands run on uvloop, whose transports differ from those of asyncio.
     return run_loop(main())
 
 
 class ServiceTest(testtools.TestCase):
-    def test_answer_and_record_match_the_request(self):
-        """Guards against runs that cannot be traced to their caller."""
+    def test_response_and_record_match_the_request(self):
+        """Guards against runs that cannot be matched with their request."""
 
         async def case(service, session):
             async with session.put(
@@ -50,7 +50,7 @@
 
         raw, headers, recording = _run_with_service(case)
         self.assertEqual(
-            expected_answer("PUT", "/orders/7?x=1", b'{"trace":"9","duration_ms":5}'),
+            expected_response("PUT", "/orders/7?x=1", b'{"trace":"9","duration_ms":5}'),
             raw,
         )
         self.assertEqual("r", headers["X-Request-Id"])
@@ -62,26 +62,26 @@
         self.assertAlmostEqual(run.units, sum(recording.units["org-3"].values()))
 
     def test_capacity_limits_concurrent_runs(self):
-        """Guards against a service that runs more than its capacity."""
+        """Guards against a service that exceeds its capacity."""
 
         async def case(service, session):
-            largest = 0
+            max_running = 0
 
-            async def one():
-                nonlocal largest
+            async def send_request():
+                nonlocal max_running
                 async with session.post("/", json={"duration_ms": 5}) as response:
                     await response.read()
-                    largest = max(largest, service.running)
+                    max_running = max(max_running, service.running)
 
-            await asyncio.gather(*(one() for _ in range(12)))
-            return largest, len(service.recording.runs)
+            await asyncio.gather(*(send_request() for _ in range(12)))
+            return max_running, len(service.recording.runs)
 
-        largest, runs = _run_with_service(case, ServiceProfile(capacity=3))
+        max_running, runs = _run_with_service(case, ServiceProfile(capacity=3))
         self.assertEqual(12, runs)
-        self.assertTrue(largest <= 3)
+        self.assertTrue(max_running <= 3)
 
     def test_run_outlives_its_caller(self):
-        """Guards against a lost caller that hides a run that took effect."""
+        """Guards against unrecorded runs that take effect after a disconnect."""
 
         async def case(service, session):
             call = asyncio.create_task(
@@ -101,9 +101,9 @@
 
         runs = _run_with_service(case)
         self.assertEqual(RunOutcome.COMPLETE, runs[0].outcome)
-        self.assertEqual(1, doubled(runs))
+        self.assertEqual(1, count_repeated_keys(runs))
 
-    def test_broken_answers_are_noticed_by_an_http_client(self):
+    def test_http_client_detects_broken_responses(self):
         """Guards against cut and garbage faults that have no effect."""
 
         async def case(service, session):
@@ -122,7 +122,7 @@
             self.assertTrue(issubclass(outcome, aiohttp.ClientError))
 
     def test_crash_breaks_running_requests(self):
-        """Guards against a crash that answers its callers."""
+        """Guards against a crash after which callers still receive a response."""
 
         async def case(service, session):
             service.faults.crash_marker = b"poison"
--- a/borageworks_emulator/topology.py
+++ b/borageworks_emulator/topology.py
@@ -1,4 +1,4 @@
-"""Deployments to emulate: domains, endpoints, services and organisations."""
+"""Emulated deployments: failure domains, endpoints, services and organisations."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Topology:
-    """One deployment.
+    """One emulated deployment.
 
     Parameters
     ----------
@@ -50,7 +50,7 @@
 
     @property
     def organisations(self) -> list[str]:
-        """Ids of the organisations, the largest shares first."""
+        """Ids of the organisations in descending order of share."""
         return sorted(self.shares, key=lambda name: (-self.shares[name], name))
 
     @property
@@ -80,7 +80,7 @@
         return float(self.slots(pool))
 
     def endpoints(self) -> list[AnyEndpoint]:
-        """Return new endpoints that are not started."""
+        """Return new endpoints, not yet started."""
         engines = [
             EmulatedEngine(f"engine-{i}", self.engine_pool, self.engine_profile)
             for i in range(self.engines)
@@ -92,7 +92,7 @@
         return [*engines, *services]
 
     def domain_of(self, index: int) -> str:
-        """Failure domain of the router or endpoint with an index of its kind."""
+        """Failure domain of the router, engine or service with the given index."""
         return self.domains[index % len(self.domains)]
 
     def endpoint_object(
@@ -103,10 +103,10 @@
         """Return the configuration object of a started endpoint."""
         index = int(endpoint.recording.endpoint.rsplit("-", 1)[1])
         if isinstance(endpoint, EmulatedEngine):
-            initial = endpoint.profile.best_batch
-            largest = 4 * initial
+            initial_window = endpoint.profile.best_batch
+            max_window = 4 * initial_window
         else:
-            initial = largest = endpoint.profile.capacity
+            initial_window = max_window = endpoint.profile.capacity
         return Endpoint.model_validate(
             {
                 "id": endpoint.recording.endpoint,
@@ -115,13 +115,13 @@
                 "host": endpoint.host,
                 "port": endpoint.port,
                 "state": state,
-                "window_initial": initial,
-                "window_max": largest,
+                "window_initial": initial_window,
+                "window_max": max_window,
             }
         )
 
     def ticket(self, endpoints: list[AnyEndpoint], number: int = 1) -> Ticket:
-        """Return the ticket that creates everything; endpoints must be started."""
+        """Return the ticket that creates all objects; endpoints must be started."""
         organisations = [
             Organisation(
                 id=name,
@@ -139,13 +139,15 @@
             Service(id=self.protected, pool=self.plain_pool, idempotent=False),
             Service(id=self.status, pool=self.plain_pool),
         ]
-        found = [self.endpoint_object(endpoint) for endpoint in endpoints]
-        return Ticket(number=number, put=(*pools, *services, *organisations, *found))
+        endpoint_objects = [self.endpoint_object(endpoint) for endpoint in endpoints]
+        return Ticket(
+            number=number, put=(*pools, *services, *organisations, *endpoint_objects)
+        )
 
 
-def _shares(large: tuple[float, ...]) -> dict[str, float]:
+def _organisation_shares(large_shares: tuple[float, ...]) -> dict[str, float]:
     shares = {f"org-{i}": 1.0 for i in range(16)}
-    shares.update({f"org-{i}": share for i, share in enumerate(large)})
+    shares.update({f"org-{i}": share for i, share in enumerate(large_shares)})
     return shares
 
 
@@ -154,7 +156,7 @@
     domains=("plovdiv-a", "plovdiv-b", "plovdiv-c"),
     engines=5,
     services=3,
-    shares=_shares((8.0, 6.0, 4.0)),
+    shares=_organisation_shares((8.0, 6.0, 4.0)),
     model="quotes",
     protected="orders",
     status="status",
@@ -164,7 +166,7 @@
     domains=("nl-west-a", "nl-west-b", "nl-west-c"),
     engines=9,
     services=3,
-    shares=_shares((6.0, 4.0)),
+    shares=_organisation_shares((6.0, 4.0)),
     model="briefings",
     protected="signoff",
     status="records",
