--- a/borageworks/gateway/admission.py
+++ b/borageworks/gateway/admission.py
@@ -92,7 +92,7 @@
         return self._limit_per_s
 
     @property
-    def crowded(self) -> bool:
+    def overloaded(self) -> bool:
         """Whether overload is sustained: callers should use other instances."""
         return self._overloaded
 
--- a/borageworks/gateway/answer_head.py
+++ b/borageworks/gateway/answer_head.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class AnswerHead:
+class ResponseHead:
     """Head of an endpoint's response.
 
     Parameters
@@ -15,16 +15,16 @@
         HTTP status.
     request_id
         Id of the request that the endpoint responds to, or None if not stated.
-    genuine
+    has_seal
         Whether the response carries the endpoint's seal header.
     not_run
         Whether the endpoint states that it did not execute the request.
-    other_endpoint
+    wrong_endpoint
         Whether the address now belongs to another endpoint than the expected one.
     """
 
     status: int
     request_id: str | None
-    genuine: bool
+    has_seal: bool
     not_run: bool
-    other_endpoint: bool
+    wrong_endpoint: bool
--- a/borageworks/gateway/memory_follower.py
+++ b/borageworks/gateway/cache_follower.py
@@ -24,7 +24,7 @@
 HTTP_OK = 200
 
 
-class MemoryFollower:
+class CacheFollower:
     """Tracks which prompt parts the model engines have cached.
 
     Reads the full list of an engine once, then long-polls it for changes.
@@ -88,12 +88,12 @@
         while True:
             try:
                 if since is None:
-                    data = await self._call(endpoint, self._codec.memory_list_target)
-                    update = self._codec.memory_list(data)
+                    data = await self._call(endpoint, self._codec.cache_list_target)
+                    update = self._codec.decode_cache_list(data)
                 else:
-                    target = self._codec.memory_events_target(since)
+                    target = self._codec.cache_events_target(since)
                     data = await self._call(endpoint, target)
-                    update = self._codec.memory_events(data)
+                    update = self._codec.decode_cache_events(data)
             except (EndpointFailedError, TimeoutError) as error:
                 self._metrics.count("memory_news_failures", type(error).__name__)
                 await asyncio.sleep(RETRY_DELAY_S)
@@ -102,12 +102,12 @@
                 since = None
                 continue
             self._reported_at[endpoint.id] = asyncio.get_running_loop().time()
-            self._placer.apply_memory_update(shard, endpoint.id, update)
+            self._placer.apply_cache_update(shard, endpoint.id, update)
             since, epoch = update.next, update.epoch
             await asyncio.sleep(POLL_DELAY_S)
 
     async def _call(self, endpoint: Endpoint, target: str) -> bytes:
-        headers = ((self._codec.memory_wait_header, str(LONG_POLL_WAIT_MS)),)
+        headers = ((self._codec.cache_wait_header, str(LONG_POLL_WAIT_MS)),)
         async with (
             asyncio.timeout(CALL_TIMEOUT_S),
             self._upstream.open(
--- a/borageworks/gateway/caller_request.py
+++ b/borageworks/gateway/caller_request.py
@@ -49,11 +49,11 @@
         Host without port, in lower case.
     path
         Path without query.
-    key
+    api_key
         API key, or None.
-    patience_s
+    remaining_s
         Seconds that the caller waits for the response, or None if not stated.
-    last_event
+    last_event_id
         Id of the last stream event that the caller received, or None.
     prompt
         Description of the prompt, or None.
@@ -66,8 +66,8 @@
     target: str
     host: str
     path: str
-    key: str | None
-    patience_s: float | None
-    last_event: int | None
+    api_key: str | None
+    remaining_s: float | None
+    last_event_id: int | None
     prompt: Prompt | None
     headers: tuple[tuple[str, str], ...]
--- a/borageworks/gateway/codec.py
+++ b/borageworks/gateway/codec.py
@@ -7,7 +7,7 @@
 
 from multidict import CIMultiDictProxy
 
-from borageworks.gateway.answer_head import AnswerHead
+from borageworks.gateway.answer_head import ResponseHead
 from borageworks.gateway.caller_request import CallerRequest
 from borageworks.gateway.deployment import Deployment
 from borageworks.gateway.endpoint import Endpoint
@@ -20,14 +20,14 @@
     configuration_key: str
     endpoint_prefix: str
     own_prefix: str
-    memory_wait_header: str
-    memory_list_target: str
+    cache_wait_header: str
+    cache_list_target: str
 
-    def configuration(self, data: bytes) -> Deployment:
+    def decode_configuration(self, data: bytes) -> Deployment:
         """Decode the operator's configuration, or raise DeploymentMalformedError."""
         ...
 
-    def endpoint(self, key: str, data: bytes) -> Endpoint:
+    def decode_endpoint(self, key: str, data: bytes) -> Endpoint:
         """Decode an entry of the endpoint list.
 
         Raises
@@ -37,13 +37,13 @@
         """
         ...
 
-    def request(
+    def decode_request(
         self, method: str, target: str, headers: CIMultiDictProxy[str]
     ) -> CallerRequest:
         """Decode a caller's request."""
         ...
 
-    def caller_key(self, headers: CIMultiDictProxy[str]) -> str | None:
+    def caller_api_key(self, headers: CIMultiDictProxy[str]) -> str | None:
         """Return the API key of a caller's request, or None."""
         ...
 
@@ -54,23 +54,25 @@
         organisation: str | None,
         endpoint: str,
         remaining_s: float,
-        last_event: int | None,
+        last_event_id: int | None,
     ) -> Iterable[tuple[str, str]]:
         """Return the headers of the request to an endpoint."""
         ...
 
-    def answer(self, status: int, headers: CIMultiDictProxy[str]) -> AnswerHead:
+    def decode_response_head(
+        self, status: int, headers: CIMultiDictProxy[str]
+    ) -> ResponseHead:
         """Decode the head of an endpoint's response."""
         ...
 
-    def memory_events_target(self, since: int) -> str:
+    def cache_events_target(self, since: int) -> str:
         """Return the request target for an engine's cache updates after `since`."""
         ...
 
-    def memory_events(self, data: bytes) -> MemoryNews:
+    def decode_cache_events(self, data: bytes) -> MemoryNews:
         """Decode updates of an engine's cache, or raise EndpointFailedError."""
         ...
 
-    def memory_list(self, data: bytes) -> MemoryNews:
+    def decode_cache_list(self, data: bytes) -> MemoryNews:
         """Decode the full list of an engine's cache, or raise EndpointFailedError."""
         ...
--- a/borageworks/gateway/directory.py
+++ b/borageworks/gateway/directory.py
@@ -13,7 +13,7 @@
 from borageworks.gateway.deployment import Deployment
 from borageworks.gateway.endpoint import Endpoint
 from borageworks.gateway.replica import ReplicaChange
-from borageworks.gateway.routes import RouteTable
+from borageworks.gateway.route_table import RouteTable
 from borageworks.metrics import Metrics
 
 # Endpoints whose entries expired during a store outage register again within about two
@@ -108,7 +108,7 @@
 
     def _apply_configuration(self, data: bytes, revision: int) -> None:
         try:
-            deployment = self._codec.configuration(data)
+            deployment = self._codec.decode_configuration(data)
         except DeploymentMalformedError as error:
             self._metrics.count("deployments_rejected", error.code)
             emit(Event.DEPLOYMENT_REJECTED, revision=revision, reason=str(error))
@@ -135,7 +135,7 @@
     def _apply_entry(self, key: str, data: bytes) -> None:
         name = key.removeprefix(self._codec.endpoint_prefix)
         try:
-            endpoint = self._codec.endpoint(key, data)
+            endpoint = self._codec.decode_endpoint(key, data)
         except EndpointEntryMalformedError as error:
             self._metrics.count("endpoint_entries_rejected", error.code)
             emit(Event.ENDPOINT_ENTRY_REJECTED, endpoint=name, reason=str(error))
--- a/borageworks/gateway/event_stream.py
+++ b/borageworks/gateway/event_stream.py
@@ -35,7 +35,7 @@
         self._buffer = bytearray()
 
     @property
-    def rest(self) -> bytes:
+    def incomplete(self) -> bytes:
         """Buffered bytes of an incomplete event."""
         return bytes(self._buffer)
 
--- a/borageworks/gateway/exchange.py
+++ b/borageworks/gateway/exchange.py
@@ -27,14 +27,14 @@
     EndpointUnreachableError,
     RefusalError,
 )
-from borageworks.gateway.answer_head import AnswerHead
+from borageworks.gateway.answer_head import ResponseHead
 from borageworks.gateway.caller_request import CallerRequest
 from borageworks.gateway.codec import Codec
 from borageworks.gateway.directory import Directory
 from borageworks.gateway.endpoint import Endpoint
 from borageworks.gateway.event_stream import EventSplitter
 from borageworks.gateway.placer import Placer
-from borageworks.gateway.route import Repeat, Route
+from borageworks.gateway.route import RetryPolicy, Route
 from borageworks.gateway.upstream import Upstream, read_body
 from borageworks.metrics import Metrics
 from borageworks.placement.outcome import WorkOutcome
@@ -140,7 +140,7 @@
         self._attempts = 0
         self._connect_failures = 0
         self._may_have_run = False
-        self._last_event = exchange.request.last_event
+        self._last_event_id = exchange.request.last_event_id
         self._fingerprint = _fingerprint(exchange)
         self._failure_response: BufferedResponse | None = None
         self.endpoint = ""
@@ -217,7 +217,7 @@
                 outcome = WorkOutcome.FAILED
                 done = self._prepare_retry(endpoint, error)
             finally:
-                self._placer.ended(work.key, outcome)
+                self._placer.record_end(work.key, outcome)
             if done:
                 return
             self._excluded.add(endpoint.id)
@@ -237,9 +237,11 @@
             work = Work(
                 key=self._placer.new_key(),
                 organisation=exchange.organisation or "",
-                aim_s=exchange.received_at + exchange.route.aim_s - now,
-                patience_s=exchange.route.aim_s * MAX_LATENESS_RATIO,
-                prompt=exchange.request.prompt if exchange.route.prompts else None,
+                aim_s=exchange.received_at + exchange.route.target_latency_s - now,
+                patience_s=exchange.route.target_latency_s * MAX_LATENESS_RATIO,
+                prompt=exchange.request.prompt
+                if exchange.route.prompt_affinity
+                else None,
                 excluded=frozenset(self._excluded),
                 fingerprint=self._fingerprint,
             )
@@ -271,7 +273,7 @@
                 self.endpoint = endpoint.id
                 return endpoint, work
             # The endpoint has become unavailable since the decision.
-            self._placer.ended(work.key, WorkOutcome.GONE)
+            self._placer.record_end(work.key, WorkOutcome.GONE)
             self._excluded.add(placed.endpoint)
 
     async def _attempt(self, endpoint: Endpoint, work: Work) -> bool:
@@ -286,7 +288,7 @@
             exchange.organisation,
             endpoint.id,
             exchange.deadline - self._loop.time(),
-            self._last_event,
+            self._last_event_id,
         )
         self._attempts += 1
         may_have_run_before, self._may_have_run = self._may_have_run, True
@@ -297,9 +299,11 @@
                 exchange.request.target,
                 headers,
                 exchange.body,
-                fresh=exchange.route.repeat is Repeat.NEVER,
+                fresh=exchange.route.retry_policy is RetryPolicy.NEVER,
             ) as response:
-                head = self._codec.answer(response.status, response.headers)
+                head = self._codec.decode_response_head(
+                    response.status, response.headers
+                )
                 self._check_head(endpoint, head)
                 if head.not_run:
                     self._may_have_run = may_have_run_before
@@ -314,7 +318,7 @@
             self._attempts -= 1
             raise
 
-    def _check_head(self, endpoint: Endpoint, head: AnswerHead) -> None:
+    def _check_head(self, endpoint: Endpoint, head: ResponseHead) -> None:
         expected = self._exchange.request.id
         if head.request_id is not None and head.request_id != expected:
             raise EndpointReplyCrossedError(
@@ -322,7 +326,7 @@
             )
         if head.not_run:
             return
-        if head.status in SUCCESS_STATUSES and not head.genuine:
+        if head.status in SUCCESS_STATUSES and not head.has_seal:
             raise EndpointReplyMalformedError(
                 f"response of endpoint {endpoint.id!r} has no seal header"
             )
@@ -333,11 +337,11 @@
             )
 
     async def _handle_refusal(
-        self, endpoint: Endpoint, head: AnswerHead, response: aiohttp.ClientResponse
+        self, endpoint: Endpoint, head: ResponseHead, response: aiohttp.ClientResponse
     ) -> None:
         await self._discard_refusal_body(endpoint, response)
         self._metrics.count("endpoint_refusals", str(head.status))
-        if head.other_endpoint:
+        if head.wrong_endpoint:
             self._directory.mark_gone(endpoint.id)
             self._placer.update()
         if not self._may_retry():
@@ -370,9 +374,9 @@
             self._metrics.count("endpoint_refusals_unread", type(error).__name__)
 
     async def _forward_buffered(
-        self, response: aiohttp.ClientResponse, head: AnswerHead, work: Work
+        self, response: aiohttp.ClientResponse, head: ResponseHead, work: Work
     ) -> bool:
-        self._placer.started(work.key)
+        self._placer.record_start(work.key)
         body = bytearray()
         async for data in read_body(response):
             body += data
@@ -402,12 +406,12 @@
     ) -> None:
         await self._sink.start(response.status, end_to_end(response.headers.items()))
         splitter = EventSplitter()
-        resumable = self._exchange.route.repeat is Repeat.RESUME
+        resumable = self._exchange.route.retry_policy is RetryPolicy.RESUME
         first = True
         async for data in read_body(response):
             if first:
                 first = False
-                self._placer.started(work.key)
+                self._placer.record_start(work.key)
                 if self.first_event_s is None:
                     self.first_event_s = self._loop.time() - self._exchange.received_at
                     self._metrics.observe("first_event", self.first_event_s, self.route)
@@ -418,24 +422,25 @@
             for event in events:
                 if event.id is not None:
                     self._check_event_order(endpoint, event.id)
-                    self._last_event = event.id
+                    self._last_event_id = event.id
                 await self._sink.write(event.data)
-        if resumable and splitter.rest:
+        if resumable and splitter.incomplete:
             raise EndpointReplyIncompleteError(
                 f"stream of endpoint {endpoint.id!r} ended within an event"
             )
         await self._sink.finish()
 
     def _check_event_order(self, endpoint: Endpoint, event: int) -> None:
-        if self._last_event is not None and event != self._last_event + 1:
+        if self._last_event_id is not None and event != self._last_event_id + 1:
             raise EndpointReplyMalformedError(
-                f"endpoint {endpoint.id!r} sent event {event} after {self._last_event}"
+                f"endpoint {endpoint.id!r} sent event {event} "
+                f"after {self._last_event_id}"
             )
 
     def _may_retry(self) -> bool:
         """Return whether a retry is allowed; if so, take it from the budget."""
         route = self._exchange.route
-        if self._may_have_run and route.repeat is Repeat.NEVER:
+        if self._may_have_run and route.retry_policy is RetryPolicy.NEVER:
             return False
         if self._attempts >= route.max_attempts:
             return False
@@ -452,7 +457,7 @@
             endpoint=endpoint.id,
             code=error.code,
             detail=str(error),
-            last_event=self._last_event,
+            last_event=self._last_event_id,
         )
 
     def _unreachable_error(self, detail: str) -> RefusalError:
--- a/borageworks/gateway/feed.py
+++ b/borageworks/gateway/feed.py
@@ -43,13 +43,13 @@
         timers: Timers,
         metrics: Metrics,
     ) -> None:
-        self._read_interval_s = settings.apply_s * READ_INTERVAL_RATIO
-        self._timeout_s = settings.apply_s * FEED_TIMEOUT_RATIO
+        self._read_interval_s = settings.config_apply_s * READ_INTERVAL_RATIO
+        self._timeout_s = settings.config_apply_s * FEED_TIMEOUT_RATIO
         self._fleet = fleet
         self._timers = timers
         self._metrics = metrics
         self._confirmed_at = -self._timeout_s
-        self._fed = False
+        self._updated_by_readers = False
 
     @property
     def is_reader(self) -> bool:
@@ -57,17 +57,21 @@
         return self._fleet.instance in self._fleet.readers()
 
     @property
-    def fed(self) -> bool:
+    def updated_by_readers(self) -> bool:
         """Whether readers keep this instance up to date, without missing changes."""
-        fed = (
+        updated_by_readers = (
             self._timers.now() - self._confirmed_at < self._timeout_s
             and not self.is_reader
         )
-        if fed is not self._fed:
-            self._fed = fed
-            self._metrics.gauge("fed_by_readers", float(fed))
-            emit(Event.FEED_CHANGED, fed=fed, readers=self._fleet.readers())
-        return fed
+        if updated_by_readers is not self._updated_by_readers:
+            self._updated_by_readers = updated_by_readers
+            self._metrics.gauge("fed_by_readers", float(updated_by_readers))
+            emit(
+                Event.FEED_CHANGED,
+                fed=updated_by_readers,
+                readers=self._fleet.readers(),
+            )
+        return updated_by_readers
 
     @property
     def timeout_s(self) -> float:
@@ -125,6 +129,6 @@
 
     async def wait_until_stale(self) -> None:
         """Wait until readers no longer keep this instance up to date."""
-        while self.fed:
+        while self.updated_by_readers:
             remaining_s = self._confirmed_at + self._timeout_s - self._timers.now()
             await asyncio.sleep(max(remaining_s, 0.0) + self._read_interval_s / 10)
--- a/borageworks/gateway/fleet.py
+++ b/borageworks/gateway/fleet.py
@@ -39,7 +39,7 @@
 # Readers query the store several times as often as other instances would, to confirm
 # that their updates are current. In a smaller failure domain that costs more calls than
 # it saves.
-FED_DOMAIN_INSTANCES = 8
+MIN_DOMAIN_INSTANCES_FOR_READERS = 8
 # All instances start at once; the random delay lets one write the secret for the rest.
 MAX_KEY_DELAY_S = 1.5
 
@@ -186,7 +186,7 @@
 
         Until then, other instances still place the last requests of that instance.
         """
-        delay = self._settings.shutdown_s + PEER_TIMEOUT_S
+        delay = self._settings.shutdown_timeout_s + PEER_TIMEOUT_S
         self._timers.after(delay, lambda _now: self._close(instance))
 
     def _close(self, instance: str) -> None:
@@ -251,7 +251,7 @@
         ]
         if not self._leaving:
             names.append(self.instance)
-        if len(names) < FED_DOMAIN_INSTANCES:
+        if len(names) < MIN_DOMAIN_INSTANCES_FOR_READERS:
             return []
         return ranked(f"readers/{self.domain}", names)[:READERS_PER_DOMAIN]
 
--- a/borageworks/gateway/follower.py
+++ b/borageworks/gateway/follower.py
@@ -106,13 +106,13 @@
 
     async def _watch(self) -> None:
         """Watch the store until readers forward its changes."""
-        changes = self._store.follow(
+        changes = self._store.watch_with_progress(
             ALL_KEYS_PREFIX, self._replica.revision + 1, self._feed.watch_wait_s
         )
         async with aclosing(changes):
             async for batch in changes:
                 self._apply_from_store(batch)
-                if self._feed.fed:
+                if self._feed.updated_by_readers:
                     return
 
     def apply_peer_update(self, update: ReplicaNews) -> None:
@@ -195,7 +195,7 @@
 
     def _grace_until(self, now: float) -> float:
         """Return the time until which endpoints whose entry was deleted stay in use."""
-        recovered_at = self._store.regained_at
+        recovered_at = self._store.recovered_at
         if self._store.failing_since is not None:
             return now + EXPIRY_GRACE_S
         return now if recovered_at is None else recovered_at + EXPIRY_GRACE_S
--- a/borageworks/gateway/frontend.py
+++ b/borageworks/gateway/frontend.py
@@ -32,7 +32,7 @@
 from borageworks.gateway.exchange import Exchange, ExchangeRunner
 from borageworks.gateway.organisation_tally import NO_ORGANISATION, OrganisationTally
 from borageworks.gateway.placer import Placer
-from borageworks.gateway.retries import Retries
+from borageworks.gateway.retry_budgets import RetryBudgets
 from borageworks.gateway.route import Route
 from borageworks.gateway.settings import GatewaySettings
 from borageworks.gateway.shutdown import Shutdown
@@ -56,11 +56,11 @@
     ----------
     settings
         Settings of the process.
-    codec, directory, placer, upstream, retries, metrics
+    codec, directory, placer, upstream, retry_budgets, metrics
         Components of the gateway.
     shutdown
         Decides which requests are accepted during shutdown.
-    store_silence
+    store_outage_s
         Returns the seconds since the store stopped replying, 0 while it replies.
     admission
         Decides which requests are admitted under overload.
@@ -73,10 +73,10 @@
         directory: Directory,
         placer: Placer,
         upstream: Upstream,
-        retries: Retries,
+        retry_budgets: RetryBudgets,
         metrics: Metrics,
         shutdown: Shutdown,
-        store_silence: Callable[[], float],
+        store_outage_s: Callable[[], float],
         admission: Admission,
     ) -> None:
         self._settings = settings
@@ -84,10 +84,10 @@
         self._directory = directory
         self._placer = placer
         self._upstream = upstream
-        self._retries = retries
+        self._retry_budgets = retry_budgets
         self._metrics = metrics
         self._shutdown = shutdown
-        self._store_silence = store_silence
+        self._store_outage_s = store_outage_s
         self._admission = admission
         self._rng = random.Random()
         self._server: web.Server | None = None
@@ -104,7 +104,7 @@
         """Start listening for callers."""
         self._server = web.Server(self._handle, handler_cancellation=True)
         self._acceptor = Acceptor(
-            self._settings.callers, self._new_protocol, self._metrics
+            self._settings.callers_address, self._new_protocol, self._metrics
         )
         self._acceptor.start()
 
@@ -165,12 +165,12 @@
         self, http_request: web.BaseRequest, received_at: float
     ) -> web.StreamResponse:
         organisation = self._key_organisation(http_request)
-        self._tally.ask(organisation)
+        self._tally.record_requested(organisation)
         if not self._admission.admit(received_at, organisation):
             # Refused before any other work, which would cost as much as the refusal.
-            self._tally.refuse(organisation)
+            self._tally.record_refused(organisation)
             return self._refuse_overloaded()
-        request = self._codec.request(
+        request = self._codec.decode_request(
             http_request.method, http_request.raw_path, http_request.headers
         )
         sink = ResponseSink(http_request, request.id, last=self._shutdown.begun)
@@ -185,11 +185,11 @@
                 self._placer,
                 self._upstream,
                 self._metrics,
-                lambda: self._retries.take(exchange.service, organisation),
+                lambda: self._retry_budgets.take(exchange.service, organisation),
             )
             await runner.run()
         except RefusalError as refusal:
-            self._tally.refuse(organisation)
+            self._tally.record_refused(organisation)
             self._log_request_end(request, received_at, refusal.code, runner, refusal)
             if sink.started:
                 self._metrics.count("answers_cut", refusal.code)
@@ -234,10 +234,10 @@
         organisation = _organisation(deployment, route, request)
         body = await _read_body(http_request, deployment.limits.body_bytes)
         timeout_s = route.timeout_s
-        if request.patience_s is not None:
-            timeout_s = min(timeout_s, request.patience_s)
+        if request.remaining_s is not None:
+            timeout_s = min(timeout_s, request.remaining_s)
         service = self._pick_service(route)
-        self._retries.record_request(service, organisation or NO_ORGANISATION)
+        self._retry_budgets.record_request(service, organisation or NO_ORGANISATION)
         return Exchange(
             request=request,
             host_header=http_request.headers.get("Host", ""),
@@ -255,8 +255,10 @@
         deployment = self._directory.deployment
         if deployment is None or deployment.organisations is None:
             return NO_ORGANISATION
-        key = self._codec.caller_key(http_request.headers)
-        key_owner = deployment.organisations.get(key) if key is not None else None
+        api_key = self._codec.caller_api_key(http_request.headers)
+        key_owner = (
+            deployment.organisations.get(api_key) if api_key is not None else None
+        )
         return NO_ORGANISATION if key_owner is None else key_owner.name
 
     def _pick_service(self, route: Route) -> str:
@@ -278,7 +280,7 @@
 
     def _close_unless_serving(self, response: web.Response) -> None:
         """Close the connection if the next one would reach another instance."""
-        if self._shutdown.begun or self._admission.crowded:
+        if self._shutdown.begun or self._admission.overloaded:
             response.force_close()
 
     def _refuse_overloaded(self) -> web.Response:
@@ -316,7 +318,7 @@
             endpoint=runner.endpoint if runner else "",
             service=runner.service if runner else "",
             version=deployment.version if deployment else None,
-            store_silent_s=self._store_silence(),
+            store_silent_s=self._store_outage_s(),
             attempts=runner.attempts if runner else 0,
             first_event_s=_rounded(runner.first_event_s if runner else None),
             detail=refusal.detail if refusal else "",
@@ -334,7 +336,9 @@
     if deployment.organisations is None:
         return None
     key_owner = (
-        deployment.organisations.get(request.key) if request.key is not None else None
+        deployment.organisations.get(request.api_key)
+        if request.api_key is not None
+        else None
     )
     if key_owner is not None:
         return key_owner.name
--- a/borageworks/gateway/gateway.py
+++ b/borageworks/gateway/gateway.py
@@ -11,6 +11,7 @@
 
 from borageworks.events import Event, emit
 from borageworks.gateway.admission import Admission
+from borageworks.gateway.cache_follower import CacheFollower
 from borageworks.gateway.codec import Codec
 from borageworks.gateway.directory import Directory
 from borageworks.gateway.feed import Feed
@@ -19,10 +20,9 @@
 from borageworks.gateway.frontend import Frontend
 from borageworks.gateway.instances import Instances
 from borageworks.gateway.loop_lag import LoopLag
-from borageworks.gateway.memory_follower import MemoryFollower
 from borageworks.gateway.placer import Placer
 from borageworks.gateway.replica import ReplicaChange
-from borageworks.gateway.retries import Retries
+from borageworks.gateway.retry_budgets import RetryBudgets
 from borageworks.gateway.settings import GatewaySettings, HostPort
 from borageworks.gateway.shutdown import Shutdown
 from borageworks.gateway.store import FollowedStore
@@ -82,9 +82,9 @@
         return self._fleet.count if self._fleet.linked else 1
 
     @property
-    def fed(self) -> bool:
+    def updated_by_readers(self) -> bool:
         """Whether readers of the store keep this instance up to date."""
-        return self._feed.fed
+        return self._feed.updated_by_readers
 
     async def start(self) -> None:
         """Start all components on the running loop."""
@@ -130,10 +130,12 @@
             self._instances.relay_addresses,
             self._store_changed,
         )
-        self._memory_follower = MemoryFollower(
+        self._cache_follower = CacheFollower(
             self._codec, self._placer, self._upstream, self._metrics
         )
-        self._retries = Retries(settings, timers, lambda: self._instances.count)
+        self._retry_budgets = RetryBudgets(
+            settings, timers, lambda: self._instances.count
+        )
         self._loop_lag = LoopLag(settings, self._metrics)
         self._admission = Admission(self._loop_lag)
         self._frontend = Frontend(
@@ -142,7 +144,7 @@
             self._directory,
             self._placer,
             self._upstream,
-            self._retries,
+            self._retry_budgets,
             self._metrics,
             self._shutdown,
             self._store_outage_s,
@@ -171,7 +173,7 @@
     def configure(self, settings: GatewaySettings) -> None:
         """Apply changed settings; addresses and names stay until a restart."""
         self._settings = settings
-        self._retries.configure(settings)
+        self._retry_budgets.configure(settings)
         self._shutdown.configure(settings)
 
     async def stop(self) -> None:
@@ -184,7 +186,7 @@
         await self._instances.leave()
         await asyncio.sleep(self._settings.balancer_lag_s)
         self._frontend.close_idle()
-        while self._frontend.running and loop.time() < self._shutdown.ends_at:
+        while self._frontend.running and loop.time() < self._shutdown.drain_deadline:
             await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
             self._frontend.close_idle()
         await self.close()
@@ -202,7 +204,7 @@
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
-        self._memory_follower.stop()
+        self._cache_follower.stop()
         for runner in self._runners:
             await runner.cleanup()
         await self._fleet.stop()
@@ -227,7 +229,7 @@
         if self._key_name in change.puts:
             self._spawn(self._fleet.apply(change))
         self._placer.update()
-        self._memory_follower.update()
+        self._cache_follower.update()
 
     def _store_outage_s(self) -> float:
         failing = self._store.failing_since
@@ -237,11 +239,11 @@
 
     def _instance_lost(self, instance: str) -> None:
         self._placer.instance_lost(instance)
-        self._memory_follower.update()
+        self._cache_follower.update()
 
     def _review(self, _now: float) -> None:
         self._placer.review_owners()
-        self._memory_follower.update()
+        self._cache_follower.update()
 
     def _report(self, _now: float) -> None:
         self._frontend.report()
@@ -266,7 +268,10 @@
         status.router.add_get("/metrics", self._serve_metrics)
         relay = web.Application()
         relay.router.add_get("/replica", self._serve_replica)
-        listeners = [(status, self._settings.status), (relay, self._settings.relay)]
+        listeners = [
+            (status, self._settings.status_address),
+            (relay, self._settings.relay_address),
+        ]
         if self._settings.metrics_port is not None:
             metrics = web.Application()
             metrics.router.add_get("/metrics", self._serve_metrics)
@@ -282,7 +287,7 @@
         ready = (
             self._directory.deployment is not None
             and not self._shutdown.begun
-            and not self._admission.crowded
+            and not self._admission.overloaded
         )
         return web.Response(status=200 if ready else 503)
 
--- a/borageworks/gateway/instances.py
+++ b/borageworks/gateway/instances.py
@@ -70,7 +70,7 @@
             domain=settings.domain,
             host=settings.host,
             peer_port=settings.peer_port,
-            relay_port=settings.relay.port,
+            relay_port=settings.relay_address.port,
             incarnation=incarnation,
             capacity=settings.capacity,
         )
@@ -94,7 +94,11 @@
     def relay_addresses(self) -> list[HostPort]:
         """Return the relay addresses of other instances; the seeds if none is known."""
         known = [HostPort(item.host, item.relay_port) for item in self._others.values()]
-        seeds = [seed for seed in self._settings.seeds if seed != self._settings.relay]
+        seeds = [
+            seed
+            for seed in self._settings.seeds
+            if seed != self._settings.relay_address
+        ]
         return known or seeds
 
     def apply(self, change: ReplicaChange) -> bool:
--- a/borageworks/gateway/organisation_tally.py
+++ b/borageworks/gateway/organisation_tally.py
@@ -35,11 +35,11 @@
         self._unit = unit
         self._counts: dict[str, _Counts] = {}
 
-    def ask(self, organisation: str, amount: float = 1.0) -> None:
+    def record_requested(self, organisation: str, amount: float = 1.0) -> None:
         """Add an amount that an organisation requested."""
         self._counts_for(organisation).requested += amount
 
-    def refuse(self, organisation: str, amount: float = 1.0) -> None:
+    def record_refused(self, organisation: str, amount: float = 1.0) -> None:
         """Add an amount that an organisation was refused."""
         self._counts_for(organisation).refused += amount
 
--- a/borageworks/gateway/asked.py
+++ b/borageworks/gateway/pending_placement.py
@@ -11,7 +11,7 @@
 
 
 @dataclass(slots=True)
-class Asked:
+class PendingPlacement:
     """A request received by this instance, from placement to completion.
 
     Parameters
--- a/borageworks/gateway/placer.py
+++ b/borageworks/gateway/placer.py
@@ -11,10 +11,10 @@
     EndpointUnavailableError,
     PlacementSilentError,
 )
-from borageworks.gateway.asked import Asked
 from borageworks.gateway.directory import Directory
 from borageworks.gateway.fleet import Fleet
 from borageworks.gateway.organisation_tally import OrganisationTally
+from borageworks.gateway.pending_placement import PendingPlacement
 from borageworks.gateway.placement_messages import (
     decode_work,
     encode_decision,
@@ -90,7 +90,7 @@
         self._dispatchers: dict[Shard, Dispatcher] = {}
         self._home_shards: dict[str, HomeShards] = {}
         self._owners: dict[Shard, str] = {}
-        self._requests: dict[int, Asked] = {}
+        self._requests: dict[int, PendingPlacement] = {}
         self._numbers = itertools.count(1)
         self._tick_timer: Subscription | None = None
         self._tallies: dict[Shard, OrganisationTally] = {}
@@ -127,7 +127,9 @@
             )
         owner = self._owner(shard)
         loop = asyncio.get_running_loop()
-        entry = Asked(shard, work, owner, loop.create_future(), asyncio.Event())
+        entry = PendingPlacement(
+            shard, work, owner, loop.create_future(), asyncio.Event()
+        )
         self._requests[work.key[1]] = entry
         try:
             if owner != self._instance:
@@ -147,7 +149,7 @@
                 self._withdraw(entry)
             raise
 
-    def started(self, key: WorkKey) -> None:
+    def record_start(self, key: WorkKey) -> None:
         """Record that the response to a request has begun."""
         entry = self._requests.get(key[1])
         if entry is None or entry.started:
@@ -158,7 +160,7 @@
         else:
             self._fleet.send(entry.owner, WorkStarted(key[1]))
 
-    def ended(self, key: WorkKey, outcome: WorkOutcome) -> None:
+    def record_end(self, key: WorkKey, outcome: WorkOutcome) -> None:
         """Record the end of a placed request."""
         entry = self._requests.pop(key[1], None)
         if entry is None:
@@ -168,7 +170,7 @@
         else:
             self._fleet.send(entry.owner, WorkEnded(key[1], int(outcome)))
 
-    def apply_memory_update(
+    def apply_cache_update(
         self, shard: Shard, endpoint: str, update: MemoryNews
     ) -> None:
         """Apply a change of the prompt parts that an engine has cached."""
@@ -265,7 +267,7 @@
                 entry.acknowledged.set()
         self.review_owners()
 
-    async def _ask_owner(self, entry: Asked) -> Placed:
+    async def _ask_owner(self, entry: PendingPlacement) -> Placed:
         work = entry.work
         request = encode_work(entry.shard, work)
         if not self._fleet.send(entry.owner, request):
@@ -291,7 +293,9 @@
         except TimeoutError as error:
             raise PlacementSilentError(f"no decision from {entry.owner}") from error
 
-    def _handle_silent_owner(self, entry: Asked, error: PlacementSilentError) -> None:
+    def _handle_silent_owner(
+        self, entry: PendingPlacement, error: PlacementSilentError
+    ) -> None:
         self._metrics.count("placements_alone")
         emit(
             Event.PLACED_ALONE,
@@ -313,13 +317,13 @@
             self._deliver([Refused(work.key, RefusalReason.NO_ENDPOINT, 0.2)])
             return
         dispatcher.set_share(1.0 if self.owns(shard) else 1.0 / self._fleet.count)
-        self._tally(shard).ask(work.organisation, work.units)
+        self._tally(shard).record_requested(work.organisation, work.units)
         self._deliver(
             self._count_refusals(shard, dispatcher.submit(self._timers.now(), work))
         )
         self._ensure_ticking()
 
-    def _withdraw(self, entry: Asked) -> None:
+    def _withdraw(self, entry: PendingPlacement) -> None:
         key = entry.work.key
         if entry.owner != self._instance:
             self._fleet.send(entry.owner, PlaceWithdraw(key[1]))
@@ -354,7 +358,7 @@
             return
         work = decode_work(instance, request)
         dispatcher.set_share(1.0)
-        self._tally(shard).ask(work.organisation, work.units)
+        self._tally(shard).record_requested(work.organisation, work.units)
         decisions = self._count_refusals(
             shard, dispatcher.submit(self._timers.now(), work)
         )
@@ -448,7 +452,7 @@
         for decision in decisions:
             if isinstance(decision, Refused) and decision.work is not None:
                 work = decision.work
-                self._tally(shard).refuse(work.organisation, work.units)
+                self._tally(shard).record_refused(work.organisation, work.units)
         return decisions
 
     def _resolve(self, decision: Decision) -> None:
--- a/borageworks/gateway/retries.py
+++ b/borageworks/gateway/retry_budgets.py
@@ -9,7 +9,7 @@
 from borageworks.timers import Timers
 
 
-class Retries:
+class RetryBudgets:
     """Retry budgets of one instance, by service.
 
     Parameters
@@ -38,7 +38,7 @@
         self._settings = settings
         for window in self._windows.values():
             window.configure(
-                settings.retry_window_s, settings.retry_ratio, settings.retry_extra
+                settings.retry_window_s, settings.retry_ratio, settings.retry_allowance
             )
 
     def record_request(self, service: str, organisation: str) -> None:
@@ -56,6 +56,6 @@
             window = self._windows[service] = RetryWindow(
                 self._settings.retry_window_s,
                 self._settings.retry_ratio,
-                self._settings.retry_extra,
+                self._settings.retry_allowance,
             )
         return window
--- a/borageworks/gateway/route.py
+++ b/borageworks/gateway/route.py
@@ -6,15 +6,15 @@
 from enum import Enum
 
 
-class Repeat(Enum):
+class RetryPolicy(Enum):
     """What may be sent again after a failure that leaves the execution unknown.
 
-    NEVER allows no retry, WHOLE allows a retry of the whole request, and RESUME a retry
+    NEVER allows no retry, FULL allows a retry of the whole request, and RESUME a retry
     that continues the event stream after the last event received.
     """
 
     NEVER = "never"
-    WHOLE = "whole"
+    FULL = "whole"
     RESUME = "resume"
 
 
@@ -35,19 +35,19 @@
     name, host, prefix
         Name, and the host and path prefix that it matches; the prefix starts and ends
         with a slash.
-    repeat
+    retry_policy
         What may be retried.
     stream
         Whether responses are event streams.
     timeout_s
         Maximum time from the request to the end of its response.
-    aim_s
+    target_latency_s
         Target latency of the response, or of the first event of a stream.
     max_attempts
         Maximum number of endpoints that one request is sent to.
     public
         Whether requests need no API key.
-    prompts
+    prompt_affinity
         Whether requests describe a prompt whose parts endpoints cache.
     targets
         Services with their weights.
@@ -56,11 +56,11 @@
     name: str
     host: str
     prefix: str
-    repeat: Repeat
+    retry_policy: RetryPolicy
     stream: bool
     timeout_s: float
-    aim_s: float
+    target_latency_s: float
     max_attempts: int
     public: bool
-    prompts: bool
+    prompt_affinity: bool
     targets: tuple[Target, ...]
--- a/borageworks/gateway/settings.py
+++ b/borageworks/gateway/settings.py
@@ -21,28 +21,28 @@
     ----------
     instance, domain, host
         Name of the instance, its failure domain and its IP address.
-    callers, status, relay
+    callers_address, status_address, relay_address
         Listening addresses for callers, for readiness and metrics, and for other
         instances that cannot reach the store.
     peer_port
         Port for connections between instances.
     seeds
         Relay addresses of some instances, which may be stale.
-    store
+    store_address
         Address of the platform's store.
     capacity
         Processor capacity of the instance, in cores.
-    apply_s
+    config_apply_s
         Maximum time until a new configuration is applied.
-    contact_s
+    recovery_grace_s
         Time after a fault during which the guaranteed bounds do not hold yet.
-    shutdown_s
+    shutdown_timeout_s
         Time between SIGTERM and SIGKILL.
     lag_limit_s
         Mean event loop lag above which the instance counts as overloaded.
-    retry_ratio, retry_window_s, retry_extra
+    retry_ratio, retry_window_s, retry_allowance
         Retry budget of the fleet for one service: in each window, at most `retry_ratio`
-        retries for each request, and `retry_extra` more.
+        retries for each request, and `retry_allowance` more.
     metrics_port
         Additional port for metrics, None if only the status address serves them.
     balancer_lag_s
@@ -53,19 +53,19 @@
     instance: str
     domain: str
     host: str
-    callers: HostPort
-    status: HostPort
-    relay: HostPort
+    callers_address: HostPort
+    status_address: HostPort
+    relay_address: HostPort
     peer_port: int
     seeds: tuple[HostPort, ...]
-    store: HostPort
+    store_address: HostPort
     capacity: float
-    apply_s: float
-    contact_s: float
-    shutdown_s: float
+    config_apply_s: float
+    recovery_grace_s: float
+    shutdown_timeout_s: float
     lag_limit_s: float
     retry_ratio: float
     retry_window_s: float
-    retry_extra: float
+    retry_allowance: float
     balancer_lag_s: float
     metrics_port: int | None = None
--- a/borageworks/gateway/shutdown.py
+++ b/borageworks/gateway/shutdown.py
@@ -32,11 +32,11 @@
         return self._begun_at is not None
 
     @property
-    def ends_at(self) -> float:
+    def drain_deadline(self) -> float:
         """Time at which running requests are aborted; infinite before `begin`."""
         if self._begun_at is None:
             return float("inf")
-        return self._begun_at + DRAIN_RATIO * self._settings.shutdown_s
+        return self._begun_at + DRAIN_RATIO * self._settings.shutdown_timeout_s
 
     @property
     def balancer_updated_at(self) -> float:
@@ -56,4 +56,6 @@
 
     def accepts(self, now: float, max_duration_s: float) -> bool:
         """Return whether to accept a request that takes at most `max_duration_s`."""
-        return now < self.balancer_updated_at or now + max_duration_s < self.ends_at
+        return (
+            now < self.balancer_updated_at or now + max_duration_s < self.drain_deadline
+        )
--- a/borageworks/gateway/store.py
+++ b/borageworks/gateway/store.py
@@ -18,11 +18,11 @@
         ...
 
     @property
-    def regained_at(self) -> float | None:
+    def recovered_at(self) -> float | None:
         """Loop time of the first success after the last outage, if any."""
         ...
 
-    def follow(
+    def watch_with_progress(
         self,
         prefix: str,
         start_revision: int,
--- a/borageworks/gateway/tests/test_admission.py
+++ b/borageworks/gateway/tests/test_admission.py
@@ -10,7 +10,7 @@
 
 from borageworks.gateway.admission import Admission
 from borageworks.gateway.loop_lag import MEASURE_INTERVAL_S, LoopLag
-from borageworks.gateway.tests.test_state import GATEWAY
+from borageworks.gateway.tests.test_components import GATEWAY
 from borageworks.metrics import Metrics
 
 SETTINGS = settings(derandomize=True, deadline=None, max_examples=10)
@@ -167,12 +167,14 @@
         """Guards against instances that stop being ready during each burst."""
         instance = SimulatedInstance({"o": 600})
         instance.simulate(0.6)
-        self.assertEqual((True, False), (instance.limited, instance.admission.crowded))
+        self.assertEqual(
+            (True, False), (instance.limited, instance.admission.overloaded)
+        )
         instance.simulate(3.0)
-        self.assertTrue(instance.admission.crowded)
+        self.assertTrue(instance.admission.overloaded)
         instance.rates = {"o": 20}
         instance.simulate(4.0)
-        self.assertFalse(instance.admission.crowded)
+        self.assertFalse(instance.admission.overloaded)
 
     def test_refusals_do_not_end_sustained_overload(self):
         """Guards against an overload state that is reset by every refusal."""
@@ -181,5 +183,5 @@
         overload_states = []
         for _ in range(50):
             instance.simulate(0.2)
-            overload_states.append(instance.admission.crowded)
+            overload_states.append(instance.admission.overloaded)
         self.assertEqual({True}, set(overload_states))
--- a/borageworks/gateway/tests/test_state.py
+++ b/borageworks/gateway/tests/test_components.py
@@ -14,8 +14,8 @@
 from borageworks.gateway.endpoint import Endpoint
 from borageworks.gateway.event_stream import EventSplitter
 from borageworks.gateway.replica import ReplicaChange, StoreReplica
-from borageworks.gateway.route import Repeat, Route, Target
-from borageworks.gateway.routes import RouteTable
+from borageworks.gateway.route import RetryPolicy, Route, Target
+from borageworks.gateway.route_table import RouteTable
 from borageworks.gateway.settings import GatewaySettings, HostPort
 from borageworks.gateway.shutdown import Shutdown
 from borageworks.metrics import Metrics
@@ -30,20 +30,20 @@
     instance="i",
     domain="d",
     host="127.0.0.1",
-    callers=HOST,
-    status=HOST,
-    relay=HOST,
+    callers_address=HOST,
+    status_address=HOST,
+    relay_address=HOST,
     peer_port=1,
     seeds=(),
-    store=HOST,
+    store_address=HOST,
     capacity=1.0,
-    apply_s=2.0,
-    contact_s=3.0,
-    shutdown_s=8.0,
+    config_apply_s=2.0,
+    recovery_grace_s=3.0,
+    shutdown_timeout_s=8.0,
     lag_limit_s=0.03,
     retry_ratio=0.2,
     retry_window_s=10.0,
-    retry_extra=50.0,
+    retry_allowance=50.0,
     balancer_lag_s=2.8,
 )
 
@@ -53,13 +53,13 @@
         name=prefix,
         host=host,
         prefix=prefix,
-        repeat=Repeat.NEVER,
+        retry_policy=RetryPolicy.NEVER,
         stream=False,
         timeout_s=1.0,
-        aim_s=0.2,
+        target_latency_s=0.2,
         max_attempts=1,
         public=False,
-        prompts=False,
+        prompt_affinity=False,
         targets=(Target("s", 1.0),),
     )
 
@@ -136,13 +136,13 @@
     endpoint_prefix = "endpoints/"
     own_prefix = "own/"
 
-    def configuration(self, data):
+    def decode_configuration(self, data):
         if not data.isdigit():
             raise DeploymentMalformedError("not a number")
         limits = CallerLimits(1, 1, 1.0)
         return Deployment(int(data), (), {}, None, limits, None)
 
-    def endpoint(self, key, data):
+    def decode_endpoint(self, key, data):
         name = key.removeprefix(self.endpoint_prefix)
         return Endpoint(name, "s", "10.0.0.1", 80, "d", 4, data == b"leaving")
 
@@ -197,8 +197,8 @@
                 events.extend(splitter.feed(data[start:end]))
             self.assertEqual([0, 1, None], [event.id for event in events])
             joined = b"".join(event.data for event in events)
-            self.assertEqual(data, joined + splitter.rest)
-            self.assertEqual(b"id: 2\nda", splitter.rest)
+            self.assertEqual(data, joined + splitter.incomplete)
+            self.assertEqual(b"id: 2\nda", splitter.incomplete)
 
         check()
 
@@ -206,11 +206,13 @@
 class ShutdownTest(TestCase):
     def test_late_requests_are_accepted_only_if_they_finish_in_time(self):
         """Guards against requests that are accepted and then cut off at shutdown."""
-        shutdown = Shutdown(replace(GATEWAY, shutdown_s=8.0, balancer_lag_s=2.8))
+        shutdown = Shutdown(
+            replace(GATEWAY, shutdown_timeout_s=8.0, balancer_lag_s=2.8)
+        )
         self.assertTrue(shutdown.accepts(0.0, 100.0))
         shutdown.begin(10.0)
         shutdown.begin(50.0)
         self.assertTrue(shutdown.accepts(12.0, 100.0))
         self.assertTrue(shutdown.accepts(13.0, 1.0))
         self.assertFalse(shutdown.accepts(13.0, 5.0))
-        self.assertTrue(17.0 < shutdown.ends_at < 18.0)
+        self.assertTrue(17.0 < shutdown.drain_deadline < 18.0)
--- a/borageworks/gateway/tests/test_feed.py
+++ b/borageworks/gateway/tests/test_feed.py
@@ -5,10 +5,13 @@
 from testtools import TestCase
 
 from borageworks.gateway.feed import Feed
-from borageworks.gateway.fleet import FED_DOMAIN_INSTANCES, READERS_PER_DOMAIN
+from borageworks.gateway.fleet import (
+    MIN_DOMAIN_INSTANCES_FOR_READERS,
+    READERS_PER_DOMAIN,
+)
 from borageworks.gateway.replica import ReplicaChange, StoreReplica
+from borageworks.gateway.tests.test_components import GATEWAY
 from borageworks.gateway.tests.test_fleet import FakeTimers, make_fleet
-from borageworks.gateway.tests.test_state import GATEWAY
 from borageworks.metrics import Metrics
 from borageworks.store.values import RangeResult, StoredValue
 from borageworks.wire.messages import ReplicaNews
@@ -47,7 +50,7 @@
             (6, 7, 1.5), (update.after, update.revision, update.lapse_grace_s)
         )
         self.assertTrue(cast(float, feed.watch_wait_s()) < feed.timeout_s)
-        self.assertTrue(feed.timeout_s < GATEWAY.apply_s)
+        self.assertTrue(feed.timeout_s < GATEWAY.config_apply_s)
 
     def test_non_reader_sends_nothing_and_uses_the_default_wait(self):
         """Guards against store calls that grow with the number of instances."""
@@ -59,29 +62,29 @@
     def test_feed_times_out_without_updates(self):
         """Guards against missed changes when a reader has lost its connection."""
         feed = self.feed("c")
-        self.assertFalse(feed.fed)
+        self.assertFalse(feed.updated_by_readers)
         feed.receive(ReplicaNews(7, 7, 0.0), 7)
-        self.assertTrue(feed.fed)
+        self.assertTrue(feed.updated_by_readers)
         self.timers.time += feed.timeout_s + 0.01
-        self.assertFalse(feed.fed)
+        self.assertFalse(feed.updated_by_readers)
 
     def test_stale_update_does_not_count_as_current(self):
         """Guards against updates that were delayed in transit."""
         feed = self.feed("c")
         feed.receive(ReplicaNews(7, 7, feed.timeout_s + 0.01), 7)
-        self.assertFalse(feed.fed)
+        self.assertFalse(feed.updated_by_readers)
 
     def test_reader_is_not_fed(self):
         """Guards against readers that rely on each other instead of the store."""
         feed = self.feed("a")
         feed.receive(ReplicaNews(7, 7, 0.0), 7)
-        self.assertFalse(feed.fed)
+        self.assertFalse(feed.updated_by_readers)
 
     def test_update_after_a_gap_is_ignored(self):
         """Guards against a replica that lacks a change permanently."""
         feed = self.feed("c")
         self.assertIsNone(feed.receive(ReplicaNews(8, 9, 0.0), 7))
-        self.assertFalse(feed.fed)
+        self.assertFalse(feed.updated_by_readers)
 
     def test_update_changes_a_replica_as_the_store_does(self):
         """Guards against items that an update loses or restores."""
@@ -104,11 +107,13 @@
 
     def test_small_failure_domain_has_no_readers(self):
         """Guards against more store calls than without readers."""
-        self.assertEqual([], make_fleet(self.names(FED_DOMAIN_INSTANCES - 2)).readers())
+        self.assertEqual(
+            [], make_fleet(self.names(MIN_DOMAIN_INSTANCES_FOR_READERS - 2)).readers()
+        )
 
     def test_silent_reader_is_replaced(self):
         """Guards against a failure domain left without readers."""
-        fleet = make_fleet(self.names(FED_DOMAIN_INSTANCES))
+        fleet = make_fleet(self.names(MIN_DOMAIN_INSTANCES_FOR_READERS))
         readers = fleet.readers()
         self.assertEqual(READERS_PER_DOMAIN, len(readers))
         other = next(name for name in readers if name != fleet.instance)
--- a/borageworks/gateway/tests/test_fleet.py
+++ b/borageworks/gateway/tests/test_fleet.py
@@ -12,7 +12,7 @@
     Fleet,
 )
 from borageworks.gateway.instances import InstanceRecord
-from borageworks.gateway.tests.test_state import GATEWAY
+from borageworks.gateway.tests.test_components import GATEWAY
 from borageworks.metrics import Metrics
 
 
@@ -65,8 +65,8 @@
 
     def test_low_capacity_instances_own_nothing_beside_larger_ones(self):
         """Guards against placement work on instances that callers already load."""
-        fleet = self.fleet(large=4.0, other=3.0, small=1.0)
-        self.assertEqual({"large", "other"}, self.owners(fleet))
+        fleet = self.fleet(strong=4.0, other=3.0, weak=1.0)
+        self.assertEqual({"strong", "other"}, self.owners(fleet))
         self.assertEqual({"i", "a"}, self.owners(self.fleet(a=1.0)))
 
     def test_single_timeout_keeps_owners(self):
--- a/borageworks/gateway/tests/test_loop_lag.py
+++ b/borageworks/gateway/tests/test_loop_lag.py
@@ -3,7 +3,7 @@
 from testtools import TestCase
 
 from borageworks.gateway.loop_lag import MEASURE_INTERVAL_S, LoopLag
-from borageworks.gateway.tests.test_state import GATEWAY
+from borageworks.gateway.tests.test_components import GATEWAY
 from borageworks.metrics import Metrics
 
 LIMIT_S = GATEWAY.lag_limit_s
--- a/borageworks/gateway/tests/test_organisation_tally.py
+++ b/borageworks/gateway/tests/test_organisation_tally.py
@@ -15,9 +15,9 @@
         """Guards against logs that do not name the affected organisations."""
         tally = OrganisationTally("callers", "requests")
         for number in range(MAX_NAMED_ORGANISATIONS + 3):
-            tally.ask(f"o{number:02}", 10)
-        tally.refuse("o07", 4)
-        tally.refuse("o18", 2)
+            tally.record_requested(f"o{number:02}", 10)
+        tally.record_refused("o07", 4)
+        tally.record_refused("o18", 2)
         tally.report(lag_s=0.1)
         (line,) = logger.messages
         self.assertEqual(
@@ -36,9 +36,9 @@
     def test_logs_nothing_without_refusals(self, logger):
         """Guards against a log line a second from each instance without refusals."""
         tally = OrganisationTally("callers", "requests")
-        tally.ask("o")
+        tally.record_requested("o")
         tally.report()
-        tally.refuse("o")
+        tally.record_refused("o")
         tally.report()
         tally.report()
         self.assertEqual(1, len(logger.messages))
--- a/borageworks/gateway/tests/test_reload.py
+++ b/borageworks/gateway/tests/test_reload.py
@@ -9,7 +9,7 @@
 
 from borageworks.exceptions import SettingsInvalidError
 from borageworks.gateway.reload import SettingsReloader
-from borageworks.gateway.tests.test_state import GATEWAY
+from borageworks.gateway.tests.test_components import GATEWAY
 from borageworks.metrics import Metrics
 
 
@@ -17,7 +17,7 @@
     text = path.read_text() if path.exists() else ""
     if not text.isdigit():
         raise SettingsInvalidError(("not a number",))
-    return replace(GATEWAY, retry_extra=float(text))
+    return replace(GATEWAY, retry_allowance=float(text))
 
 
 class SettingsReloaderTest(TestCase):
@@ -30,7 +30,10 @@
                 path.write_text("1")
                 metrics = Metrics()
                 reloader = SettingsReloader(
-                    path, load, lambda item: applied.append(item.retry_extra), metrics
+                    path,
+                    load,
+                    lambda item: applied.append(item.retry_allowance),
+                    metrics,
                 )
                 task = asyncio.create_task(reloader.run())
                 await change_file(path, reloader)
--- a/borageworks/platform/responses.py
+++ b/borageworks/platform/answers.py
@@ -4,18 +4,18 @@
 
 from multidict import CIMultiDictProxy
 
-from borageworks.gateway.answer_head import AnswerHead
+from borageworks.gateway.answer_head import ResponseHead
 from borageworks.platform import names
 
 MISDIRECTED = 421
 
 
-def decode_response_head(status: int, headers: CIMultiDictProxy[str]) -> AnswerHead:
+def decode_response_head(status: int, headers: CIMultiDictProxy[str]) -> ResponseHead:
     """Return the status and headers of a response in decoded form."""
-    return AnswerHead(
+    return ResponseHead(
         status=status,
         request_id=headers.get(names.REQUEST_ID),
-        genuine=names.RESPONSE_SEAL in headers,
+        has_seal=names.RESPONSE_SEAL in headers,
         not_run=names.NOT_EXECUTED in headers or status == MISDIRECTED,
-        other_endpoint=status == MISDIRECTED,
+        wrong_endpoint=status == MISDIRECTED,
     )
--- a/borageworks/platform/codec.py
+++ b/borageworks/platform/codec.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from borageworks.platform import names
+from borageworks.platform.answers import decode_response_head
 from borageworks.platform.configuration import decode_configuration
 from borageworks.platform.engine_memory import (
     LIST_PATH,
@@ -12,8 +13,11 @@
     events_target,
 )
 from borageworks.platform.entries import decode_entry
-from borageworks.platform.requests import caller_key, decode_request, forwarded_headers
-from borageworks.platform.responses import decode_response_head
+from borageworks.platform.requests import (
+    caller_api_key,
+    decode_request,
+    forwarded_headers,
+)
 
 
 class PlatformCodec:
@@ -22,14 +26,14 @@
     configuration_key = names.CONFIGURATION_KEY
     endpoint_prefix = names.ENDPOINT_PREFIX
     own_prefix = names.OWN_PREFIX
-    memory_wait_header = WAIT_HEADER
-    memory_list_target = LIST_PATH
-    configuration = staticmethod(decode_configuration)
-    endpoint = staticmethod(decode_entry)
-    request = staticmethod(decode_request)
-    caller_key = staticmethod(caller_key)
+    cache_wait_header = WAIT_HEADER
+    cache_list_target = LIST_PATH
+    decode_configuration = staticmethod(decode_configuration)
+    decode_endpoint = staticmethod(decode_entry)
+    decode_request = staticmethod(decode_request)
+    caller_api_key = staticmethod(caller_api_key)
     forwarded_headers = staticmethod(forwarded_headers)
-    answer = staticmethod(decode_response_head)
-    memory_events_target = staticmethod(events_target)
-    memory_events = staticmethod(decode_events)
-    memory_list = staticmethod(decode_list)
+    decode_response_head = staticmethod(decode_response_head)
+    cache_events_target = staticmethod(events_target)
+    decode_cache_events = staticmethod(decode_events)
+    decode_cache_list = staticmethod(decode_list)
--- a/borageworks/platform/configuration.py
+++ b/borageworks/platform/configuration.py
@@ -14,7 +14,7 @@
     Organisation,
     ServiceProfile,
 )
-from borageworks.gateway.route import Repeat, Route, Target
+from borageworks.gateway.route import RetryPolicy, Route, Target
 
 MILLISECONDS_PER_SECOND = 1000.0
 # Limits for callers, used if the configuration has none.
@@ -110,9 +110,11 @@
 def _route(model: _Route) -> Route:
     stream = model.route_type == "streaming"
     if stream:
-        repeat = Repeat.RESUME if model.resumable else Repeat.NEVER
+        retry_policy = RetryPolicy.RESUME if model.resumable else RetryPolicy.NEVER
     else:
-        repeat = Repeat.WHOLE if model.route_type == "idempotent" else Repeat.NEVER
+        retry_policy = (
+            RetryPolicy.FULL if model.route_type == "idempotent" else RetryPolicy.NEVER
+        )
     targets = tuple(
         Target(split.service, split.weight) for split in model.traffic_split
     )
@@ -122,13 +124,13 @@
         name=model.name,
         host=model.hostname,
         prefix=model.prefix,
-        repeat=repeat,
+        retry_policy=retry_policy,
         stream=stream,
         timeout_s=model.timeout_ms / MILLISECONDS_PER_SECOND,
-        aim_s=model.target_latency_ms / MILLISECONDS_PER_SECOND,
+        target_latency_s=model.target_latency_ms / MILLISECONDS_PER_SECOND,
         max_attempts=model.max_attempts,
         public=model.public,
-        prompts=model.sticky,
+        prompt_affinity=model.sticky,
         targets=targets,
     )
 
--- a/borageworks/platform/requests.py
+++ b/borageworks/platform/requests.py
@@ -53,9 +53,9 @@
         .strip()
         .lower(),
         path=target.partition("?")[0],
-        key=caller_key(headers),
-        patience_s=_parse_seconds(headers.get(names.REMAINING_MS)),
-        last_event=_parse_count(headers.get(names.LAST_EVENT_ID)),
+        api_key=caller_api_key(headers),
+        remaining_s=_parse_seconds(headers.get(names.REMAINING_MS)),
+        last_event_id=_parse_count(headers.get(names.LAST_EVENT_ID)),
         prompt=_decode_prompt(headers),
         headers=tuple(
             (name, value)
@@ -72,7 +72,7 @@
     organisation: str | None,
     endpoint: str,
     remaining_s: float,
-    last_event: int | None,
+    last_event_id: int | None,
 ) -> Iterable[tuple[str, str]]:
     """Return the headers of a request to an endpoint.
 
@@ -88,7 +88,7 @@
         ID of the endpoint; another endpoint at the same address refuses the request.
     remaining_s
         Seconds until the endpoint must have responded.
-    last_event
+    last_event_id
         ID of the last event that the caller received, or None.
     """
     remaining_ms = max(1, math.floor(remaining_s * MILLISECONDS_PER_SECOND))
@@ -98,11 +98,11 @@
     yield names.EXPECTED_ENDPOINT, endpoint
     if organisation is not None:
         yield names.ORGANISATION, organisation
-    if last_event is not None:
-        yield names.LAST_EVENT_ID, str(last_event)
+    if last_event_id is not None:
+        yield names.LAST_EVENT_ID, str(last_event_id)
 
 
-def caller_key(headers: CIMultiDictProxy[str]) -> str | None:
+def caller_api_key(headers: CIMultiDictProxy[str]) -> str | None:
     """Return the API key of a request, or None."""
     authorization = headers.get("Authorization")
     if authorization is None or not authorization.lower().startswith(
--- a/borageworks/platform/store.py
+++ b/borageworks/platform/store.py
@@ -67,10 +67,12 @@
     """
 
     def __init__(self, settings: GatewaySettings, metrics: Metrics) -> None:
-        self._base_url = f"http://{settings.store.host}:{settings.store.port}"
+        self._base_url = (
+            f"http://{settings.store_address.host}:{settings.store_address.port}"
+        )
         self._max_wait_s = max(
-            settings.contact_s
-            + settings.apply_s
+            settings.recovery_grace_s
+            + settings.config_apply_s
             - WATCH_REPLY_MARGIN_S
             - WATCH_TIMEOUT_RESERVE_S,
             WATCH_WAIT_MIN_S,
@@ -87,7 +89,7 @@
         return self._failing_since
 
     @property
-    def regained_at(self) -> float | None:
+    def recovered_at(self) -> float | None:
         """Loop time of the first success after the last failure, or None."""
         return self._recovered_at
 
@@ -190,13 +192,13 @@
     ) -> AsyncGenerator[WatchBatch, None]:
         """Yield the changes under `prefix` from `start_revision` on."""
         async with aclosing(
-            self.follow(prefix, start_revision, lambda: None)
+            self.watch_with_progress(prefix, start_revision, lambda: None)
         ) as batches:
             async for batch in batches:
                 if batch.puts or batch.deletes:
                     yield batch
 
-    async def follow(
+    async def watch_with_progress(
         self,
         prefix: str,
         start_revision: int,
--- a/borageworks/platform/tests/test_decoding.py
+++ b/borageworks/platform/tests/test_decoding.py
@@ -16,13 +16,13 @@
     EndpointReplyMalformedError,
     SettingsInvalidError,
 )
-from borageworks.gateway.route import Repeat
+from borageworks.gateway.route import RetryPolicy
 from borageworks.placement.memory_news import KeptPart
+from borageworks.platform.answers import decode_response_head
 from borageworks.platform.configuration import decode_configuration
 from borageworks.platform.engine_memory import decode_events, decode_list
 from borageworks.platform.entries import decode_entry
 from borageworks.platform.requests import decode_request, forwarded_headers
-from borageworks.platform.responses import decode_response_head
 from borageworks.platform.settings import parse_settings
 from borageworks_emulator.platform.harness import configuration, settings_text
 
@@ -62,9 +62,9 @@
         """Guards against wrong units and against new fields that prevent a start."""
         decoded = parse_settings(self.text())
         self.assertEqual(("edge-1", "zone-a"), (decoded.instance, decoded.domain))
-        self.assertEqual(("127.0.0.1", 1), decoded.callers)
-        self.assertEqual((3.0, 2.0), (decoded.contact_s, decoded.apply_s))
-        self.assertEqual(8.0, decoded.shutdown_s)
+        self.assertEqual(("127.0.0.1", 1), decoded.callers_address)
+        self.assertEqual((3.0, 2.0), (decoded.recovery_grace_s, decoded.config_apply_s))
+        self.assertEqual(8.0, decoded.shutdown_timeout_s)
         self.assertEqual(4, decoded.peer_port)
 
     def test_all_invalid_fields_are_reported_at_once(self):
@@ -96,14 +96,16 @@
     def test_repeat_policy_follows_the_route_type(self):
         """Guards against repeating requests of a non-idempotent route."""
         deployment = decode_configuration(orjson.dumps(configuration()))
-        policies = {item.name: (item.repeat, item.stream) for item in deployment.routes}
+        policies = {
+            item.name: (item.retry_policy, item.stream) for item in deployment.routes
+        }
         self.assertEqual(
             {
-                "resume": (Repeat.RESUME, True),
-                "once": (Repeat.NEVER, True),
-                "book": (Repeat.NEVER, False),
-                "look": (Repeat.WHOLE, False),
-                "open": (Repeat.WHOLE, False),
+                "resume": (RetryPolicy.RESUME, True),
+                "once": (RetryPolicy.NEVER, True),
+                "book": (RetryPolicy.NEVER, False),
+                "look": (RetryPolicy.FULL, False),
+                "open": (RetryPolicy.FULL, False),
             },
             policies,
         )
@@ -253,7 +255,7 @@
         self.assertFalse(decode_response_head(503, headers()).not_run)
         not_executed = headers(X_Borageworks_Not_Executed="1")
         self.assertTrue(decode_response_head(503, not_executed).not_run)
-        self.assertTrue(decode_response_head(421, headers()).other_endpoint)
+        self.assertTrue(decode_response_head(421, headers()).wrong_endpoint)
 
 
 class EngineMemoryTest(TestCase):
--- a/borageworks/platform/tests/test_store_watch.py
+++ b/borageworks/platform/tests/test_store_watch.py
@@ -6,7 +6,7 @@
 from testtools import TestCase
 
 from borageworks.exceptions import StoreUnavailableError
-from borageworks.gateway.tests.test_state import GATEWAY
+from borageworks.gateway.tests.test_components import GATEWAY
 from borageworks.metrics import Metrics
 from borageworks.platform.store import PlatformStore
 
--- a/borageworks_emulator/platform/tests/test_feed.py
+++ b/borageworks_emulator/platform/tests/test_feed.py
@@ -36,19 +36,21 @@
                 for harness in fleet:
                     await harness.linked(INSTANCES)
 
-                async def fed():
-                    return len(self.fed(fleet)) == INSTANCES - READERS
+                async def updated():
+                    return len(self.updated_by_readers(fleet)) == INSTANCES - READERS
 
-                await until(fed, 10.0)
+                await until(updated, 10.0)
                 return await scenario(fleet)
 
-        # A failure domain of the test's size is fed.
-        with mock.patch("borageworks.gateway.fleet.FED_DOMAIN_INSTANCES", INSTANCES):
+        # A failure domain of the test's size is updated by readers.
+        with mock.patch(
+            "borageworks.gateway.fleet.MIN_DOMAIN_INSTANCES_FOR_READERS", INSTANCES
+        ):
             return asyncio.run(main())
 
     @staticmethod
-    def fed(fleet):
-        return [one for one in fleet if one.gateway.fed]
+    def updated_by_readers(fleet):
+        return [one for one in fleet if one.gateway.updated_by_readers]
 
     def test_only_readers_call_the_store(self):
         """Guards against store calls that grow with the number of instances."""
@@ -65,7 +67,7 @@
             return [
                 after[number] - calls[number]
                 for number, one in enumerate(fleet)
-                if one.gateway.fed
+                if one.gateway.updated_by_readers
             ]
 
         self.assertEqual([0] * (INSTANCES - READERS), self.play(scenario))
@@ -74,8 +76,8 @@
         """Guards against instances that wait for readers that cannot read."""
 
         async def scenario(fleet):
-            told = self.fed(fleet)
-            readers = [one for one in fleet if one not in told]
+            updated = self.updated_by_readers(fleet)
+            readers = [one for one in fleet if one not in updated]
             for one in readers:
                 # The store turns these away, and nobody tells the others.
                 one.platform_store._base = "http://127.0.0.1:1"
@@ -84,7 +86,7 @@
             await fleet[0].configure(without_route(2, "book"))
 
             async def in_force():
-                return all([(await one.ask("/book/"))[0] == 404 for one in told])
+                return all([(await one.ask("/book/"))[0] == 404 for one in updated])
 
             taken = await until(in_force)
             await fleet[0].configure(configuration(3))
