--- a/borageworks/gateway/cache_follower.py
+++ b/borageworks/gateway/cache_follower.py
@@ -98,12 +98,12 @@
                 self._metrics.count("memory_news_failures", type(error).__name__)
                 await asyncio.sleep(RETRY_DELAY_S)
                 continue
-            if not update.whole and (update.gap or update.epoch != epoch):
+            if not update.complete and (update.gap or update.epoch != epoch):
                 since = None
                 continue
             self._reported_at[endpoint.id] = asyncio.get_running_loop().time()
             self._placer.apply_cache_update(shard, endpoint.id, update)
-            since, epoch = update.next, update.epoch
+            since, epoch = update.next_sequence, update.epoch
             await asyncio.sleep(POLL_DELAY_S)
 
     async def _call(self, endpoint: Endpoint, target: str) -> bytes:
--- a/borageworks/gateway/codec.py
+++ b/borageworks/gateway/codec.py
@@ -11,7 +11,7 @@
 from borageworks.gateway.caller_request import CallerRequest
 from borageworks.gateway.deployment import Deployment
 from borageworks.gateway.endpoint import Endpoint
-from borageworks.placement.memory_news import MemoryNews
+from borageworks.placement.memory_news import CacheUpdate
 
 
 class Codec(Protocol):
@@ -69,10 +69,10 @@
         """Return the request target for an engine's cache updates after `since`."""
         ...
 
-    def decode_cache_events(self, data: bytes) -> MemoryNews:
+    def decode_cache_events(self, data: bytes) -> CacheUpdate:
         """Decode updates of an engine's cache, or raise EndpointFailedError."""
         ...
 
-    def decode_cache_list(self, data: bytes) -> MemoryNews:
+    def decode_cache_list(self, data: bytes) -> CacheUpdate:
         """Decode the full list of an engine's cache, or raise EndpointFailedError."""
         ...
--- a/borageworks/gateway/exchange.py
+++ b/borageworks/gateway/exchange.py
@@ -194,14 +194,14 @@
     async def _attempt_until_done(self) -> None:
         while True:
             endpoint, work = await self._place()
-            outcome = WorkOutcome.LEFT
+            outcome = WorkOutcome.CALLER_DISCONNECTED
             try:
                 done = await self._attempt(endpoint, work)
-                outcome = WorkOutcome.SERVED if done else WorkOutcome.SHED
+                outcome = WorkOutcome.SERVED if done else WorkOutcome.REFUSED
                 if done and self._sink.response.status in SERVER_ERROR_STATUSES:
                     outcome = WorkOutcome.FAILED
             except (EndpointsBusyError, AnswerLostError, _NoFurtherAttemptError):
-                outcome = WorkOutcome.SHED
+                outcome = WorkOutcome.REFUSED
                 raise
             except EndpointUnreachableError as error:
                 outcome = WorkOutcome.UNREACHABLE
@@ -211,7 +211,7 @@
                     raise self._unreachable_error(str(error)) from error
                 done = False
             except (EndpointDisconnectedError, EndpointReplyIncompleteError) as error:
-                outcome = WorkOutcome.BROKEN
+                outcome = WorkOutcome.DISCONNECTED
                 done = self._prepare_retry(endpoint, error)
             except EndpointFailedError as error:
                 outcome = WorkOutcome.FAILED
@@ -237,8 +237,10 @@
             work = Work(
                 key=self._placer.new_key(),
                 organisation=exchange.organisation or "",
-                aim_s=exchange.received_at + exchange.route.target_latency_s - now,
-                patience_s=exchange.route.target_latency_s * MAX_LATENESS_RATIO,
+                remaining_target_s=exchange.received_at
+                + exchange.route.target_latency_s
+                - now,
+                max_wait_s=exchange.route.target_latency_s * MAX_LATENESS_RATIO,
                 prompt=exchange.request.prompt
                 if exchange.route.prompt_affinity
                 else None,
@@ -264,7 +266,7 @@
                 organisation=exchange.organisation,
                 endpoint=placed.endpoint,
                 placed_by=placed.placed_by,
-                unread_tokens=placed.unread_tokens,
+                unread_tokens=placed.uncached_tokens,
                 waited_s=round(waited, 4),
                 version=exchange.version,
             )
@@ -273,7 +275,7 @@
                 self.endpoint = endpoint.id
                 return endpoint, work
             # The endpoint has become unavailable since the decision.
-            self._placer.record_end(work.key, WorkOutcome.GONE)
+            self._placer.record_end(work.key, WorkOutcome.UNLISTED)
             self._excluded.add(placed.endpoint)
 
     async def _attempt(self, endpoint: Endpoint, work: Work) -> bool:
--- a/borageworks/gateway/placement_messages.py
+++ b/borageworks/gateway/placement_messages.py
@@ -12,7 +12,7 @@
 )
 from borageworks.gateway.caller_request import Prompt, PromptPart
 from borageworks.placement.decisions import Decision, Placed, RefusalReason, Refused
-from borageworks.placement.reading_speed import ReadingSpeed
+from borageworks.placement.reading_speed import PrefillSpeed
 from borageworks.placement.work import Work
 from borageworks.wire.messages import PlaceReply, PlaceRequest, PlaceState, PromptPiece
 
@@ -24,8 +24,8 @@
         shard[0],
         shard[1],
         work.organisation,
-        work.aim_s,
-        work.patience_s,
+        work.remaining_target_s,
+        work.max_wait_s,
         tuple(sorted(work.excluded)),
         fingerprint=work.fingerprint,
     )
@@ -63,19 +63,23 @@
     )
 
 
-def encode_decision(decision: Decision, speed: ReadingSpeed | None) -> PlaceReply:
+def encode_decision(
+    decision: Decision, prefill_speed: PrefillSpeed | None
+) -> PlaceReply:
     """Return the message that carries a decision and the measured prefill speed."""
     number = decision.key[1]
-    learned = speed is not None and speed.learned
+    learned = prefill_speed is not None and prefill_speed.learned
     match decision:
         case Placed():
             return PlaceReply(
                 number,
                 PlaceState.PLACED,
                 endpoint=decision.endpoint,
-                unread_tokens=decision.unread_tokens,
-                seconds_per_token=speed.seconds_per_token if speed and learned else 0.0,
-                start_s=speed.start_s if speed and learned else 0.0,
+                unread_tokens=decision.uncached_tokens,
+                seconds_per_token=prefill_speed.seconds_per_token
+                if prefill_speed and learned
+                else 0.0,
+                start_s=prefill_speed.start_s if prefill_speed and learned else 0.0,
             )
         case Refused():
             return PlaceReply(
@@ -93,12 +97,12 @@
             return EndpointUnavailableError(
                 "no endpoint is available", retry_after=refused.retry_after_s
             )
-        case RefusalReason.NO_ROOM:
+        case RefusalReason.NO_CAPACITY:
             return CapacityExceededError(
                 "no endpoint can respond in time",
                 retry_after=refused.retry_after_s,
             )
-        case RefusalReason.WAITED:
+        case RefusalReason.WAIT_TIMEOUT:
             return CapacityExceededError(
                 "no endpoint became free in time", retry_after=refused.retry_after_s
             )
--- a/borageworks/gateway/placer.py
+++ b/borageworks/gateway/placer.py
@@ -24,11 +24,11 @@
 from borageworks.metrics import Metrics
 from borageworks.placement.decisions import Decision, Placed, RefusalReason, Refused
 from borageworks.placement.dispatcher import Dispatcher
-from borageworks.placement.memory_news import MemoryNews
+from borageworks.placement.memory_news import CacheUpdate
 from borageworks.placement.outcome import WorkOutcome
-from borageworks.placement.reading_speed import ReadingSpeed
+from borageworks.placement.reading_speed import PrefillSpeed
 from borageworks.placement.settings import PlacementSettings
-from borageworks.placement.shards import HomeShards, Shard
+from borageworks.placement.shards import ServiceShards, Shard
 from borageworks.placement.work import Work, WorkKey
 from borageworks.timers import Subscription, Timers
 from borageworks.wire.messages import (
@@ -88,7 +88,7 @@
         self._metrics = metrics
         self._settings = settings
         self._dispatchers: dict[Shard, Dispatcher] = {}
-        self._home_shards: dict[str, HomeShards] = {}
+        self._service_shards: dict[str, ServiceShards] = {}
         self._owners: dict[Shard, str] = {}
         self._requests: dict[int, PendingPlacement] = {}
         self._numbers = itertools.count(1)
@@ -118,12 +118,15 @@
         CapacityExceededError
             If no endpoint can respond in time.
         """
-        home_shards = self._home_shards.get(service)
-        shard = service, home_shards.find(work.prompt, request_id) if home_shards else 0
+        service_shards = self._service_shards.get(service)
+        shard = (
+            service,
+            service_shards.find(work.prompt, request_id) if service_shards else 0,
+        )
         if shard not in self._dispatchers:
             raise EndpointUnavailableError(
                 f"service {service!r} has no endpoints",
-                retry_after=self._settings.retry_least_s,
+                retry_after=self._settings.min_retry_after_s,
             )
         owner = self._owner(shard)
         loop = asyncio.get_running_loop()
@@ -171,12 +174,12 @@
             self._fleet.send(entry.owner, WorkEnded(key[1], int(outcome)))
 
     def apply_cache_update(
-        self, shard: Shard, endpoint: str, update: MemoryNews
+        self, shard: Shard, endpoint: str, update: CacheUpdate
     ) -> None:
         """Apply a change of the prompt parts that an engine has cached."""
         dispatcher = self._dispatchers.get(shard)
         if dispatcher is not None:
-            dispatcher.learn(endpoint, update)
+            dispatcher.apply_cache_update(endpoint, update)
 
     def update(self) -> None:
         """Apply the current deployment configuration, endpoints and instances."""
@@ -187,13 +190,15 @@
         wanted: set[Shard] = set()
         for name, profile in deployment.services.items():
             endpoints = self._directory.endpoints_of(name)
-            if not endpoints and name not in self._home_shards:
+            if not endpoints and name not in self._service_shards:
                 continue
-            home_shards = self._home_shards.get(name)
+            service_shards = self._service_shards.get(name)
             endpoint_ids = tuple(sorted(endpoint.id for endpoint in endpoints))
-            if home_shards is None or home_shards.endpoints != endpoint_ids:
-                home_shards = self._home_shards[name] = HomeShards(endpoint_ids)
-            for number in range(home_shards.count):
+            if service_shards is None or service_shards.endpoints != endpoint_ids:
+                service_shards = self._service_shards[name] = ServiceShards(
+                    endpoint_ids
+                )
+            for number in range(service_shards.count):
                 shard = name, number
                 wanted.add(shard)
                 dispatcher = self._dispatchers.get(shard)
@@ -211,7 +216,7 @@
                         [
                             endpoint
                             for endpoint in endpoints
-                            if home_shards.of_endpoint[endpoint.id] == number
+                            if service_shards.of_endpoint[endpoint.id] == number
                         ],
                     )
                 )
@@ -273,7 +278,8 @@
         if not self._fleet.send(entry.owner, request):
             raise PlacementSilentError(f"no link to {entry.owner}")
         ack_timeout_s = min(
-            max(ACK_TIMEOUT_RATIO * work.aim_s, MIN_ACK_TIMEOUT_S), MAX_ACK_TIMEOUT_S
+            max(ACK_TIMEOUT_RATIO * work.remaining_target_s, MIN_ACK_TIMEOUT_S),
+            MAX_ACK_TIMEOUT_S,
         )
         try:
             async with asyncio.timeout(ack_timeout_s):
@@ -286,7 +292,9 @@
                 raise PlacementSilentError(
                     f"no acknowledgement from {entry.owner}"
                 ) from error
-        decision_timeout_s = max(work.patience_s, work.aim_s, 0.0) + DECISION_MARGIN_S
+        decision_timeout_s = (
+            max(work.max_wait_s, work.remaining_target_s, 0.0) + DECISION_MARGIN_S
+        )
         try:
             async with asyncio.timeout(decision_timeout_s):
                 return await entry.future
@@ -316,7 +324,9 @@
         if dispatcher is None:
             self._deliver([Refused(work.key, RefusalReason.NO_ENDPOINT, 0.2)])
             return
-        dispatcher.set_share(1.0 if self.owns(shard) else 1.0 / self._fleet.count)
+        dispatcher.set_capacity_ratio(
+            1.0 if self.owns(shard) else 1.0 / self._fleet.count
+        )
         self._tally(shard).record_requested(work.organisation, work.units)
         self._deliver(
             self._count_refusals(shard, dispatcher.submit(self._timers.now(), work))
@@ -352,17 +362,17 @@
                     request.number,
                     PlaceState.REFUSED,
                     reason=int(RefusalReason.NO_ENDPOINT),
-                    retry_after_s=self._settings.retry_least_s,
+                    retry_after_s=self._settings.min_retry_after_s,
                 ),
             )
             return
         work = decode_work(instance, request)
-        dispatcher.set_share(1.0)
+        dispatcher.set_capacity_ratio(1.0)
         self._tally(shard).record_requested(work.organisation, work.units)
         decisions = self._count_refusals(
             shard, dispatcher.submit(self._timers.now(), work)
         )
-        self._deliver(decisions, dispatcher.speed)
+        self._deliver(decisions, dispatcher.prefill_speed)
         if all(decision.key != work.key for decision in decisions):
             self._fleet.send(instance, PlaceReply(request.number, PlaceState.WAITING))
             self._ensure_ticking()
@@ -390,7 +400,9 @@
             case PlaceState.PLACED:
                 dispatcher = self._dispatchers.get(entry.shard)
                 if dispatcher is not None and reply.seconds_per_token > 0.0:
-                    dispatcher.speed.adopt(reply.seconds_per_token, reply.start_s)
+                    dispatcher.prefill_speed.adopt(
+                        reply.seconds_per_token, reply.start_s
+                    )
                 self._resolve(
                     Placed(key, reply.endpoint, reply.unread_tokens, instance)
                 )
@@ -431,13 +443,15 @@
             entry.owner = owner
 
     def _deliver(
-        self, decisions: Iterable[Decision], speed: ReadingSpeed | None = None
+        self, decisions: Iterable[Decision], prefill_speed: PrefillSpeed | None = None
     ) -> None:
         for decision in decisions:
             if decision.key[0] == self._instance:
                 self._resolve(decision)
             else:
-                self._fleet.send(decision.key[0], encode_decision(decision, speed))
+                self._fleet.send(
+                    decision.key[0], encode_decision(decision, prefill_speed)
+                )
 
     def _tally(self, shard: Shard) -> OrganisationTally:
         tally = self._tallies.get(shard)
--- a/borageworks/placement/decisions.py
+++ b/borageworks/placement/decisions.py
@@ -12,8 +12,8 @@
     """Why a request is not placed."""
 
     NO_ENDPOINT = 0
-    NO_ROOM = 1
-    WAITED = 2
+    NO_CAPACITY = 1
+    WAIT_TIMEOUT = 2
     SUSPECTED = 3
 
 
@@ -21,13 +21,13 @@
 class Placed:
     """Sends the request to an endpoint.
 
-    `unread_tokens` is the number of prompt tokens that the endpoint is expected to
+    `uncached_tokens` is the number of prompt tokens that the endpoint is expected to
     prefill; `placed_by` is the instance that decided, if it was another one.
     """
 
     key: WorkKey
     endpoint: str
-    unread_tokens: int = 0
+    uncached_tokens: int = 0
     placed_by: str = ""
 
 
--- a/borageworks/placement/dispatcher.py
+++ b/borageworks/placement/dispatcher.py
@@ -12,10 +12,10 @@
 from borageworks.gateway.endpoint import Endpoint
 from borageworks.placement.decisions import Decision, Placed, RefusalReason, Refused
 from borageworks.placement.endpoint_state import EndpointState, RunningWork
-from borageworks.placement.memory_news import MemoryNews
+from borageworks.placement.memory_news import CacheUpdate
 from borageworks.placement.outcome import WorkOutcome
 from borageworks.placement.prompt_cache import PromptCache
-from borageworks.placement.reading_speed import ReadingSpeed
+from borageworks.placement.reading_speed import PrefillSpeed
 from borageworks.placement.settings import PlacementSettings
 from borageworks.placement.work import GENERATED_WEIGHT, PLAIN_UNITS, Work, WorkKey
 from borageworks.routing.suspects import CrashSuspects, Verdict
@@ -75,7 +75,7 @@
         self._waiting_tokens: dict[str, float] = {}
         self._waiting_per_organisation: dict[str, int] = {}
         self._fair_queue = FairQueue()
-        self._speed = ReadingSpeed(DEFAULT_TOKENS_PER_S)
+        self._prefill_speed = PrefillSpeed(DEFAULT_TOKENS_PER_S)
         self._capacity_ratio = 1.0
         self._mean_duration_s = 0.0
         self._suspects = CrashSuspects()
@@ -96,11 +96,11 @@
         return len(self._waiting)
 
     @property
-    def speed(self) -> ReadingSpeed:
+    def prefill_speed(self) -> PrefillSpeed:
         """Estimate of the engines' prefill speed."""
-        return self._speed
+        return self._prefill_speed
 
-    def set_share(self, ratio: float) -> None:
+    def set_capacity_ratio(self, ratio: float) -> None:
         """Set the fraction of each endpoint's capacity that this instance may use.
 
         It is below 1 while instances place independently of each other.
@@ -109,7 +109,7 @@
 
     def set_throughput(self, tokens_per_s: float) -> None:
         """Set the stated throughput of one engine, the prior of its prefill speed."""
-        self._speed = ReadingSpeed(tokens_per_s / PREFILL_THROUGHPUT_RATIO)
+        self._prefill_speed = PrefillSpeed(tokens_per_s / PREFILL_THROUGHPUT_RATIO)
 
     def set_endpoints(
         self, now: float, endpoints: Iterable[Endpoint]
@@ -158,7 +158,7 @@
         if waiting is not None:
             self._count_waiting(now, waiting, -1)
             return []
-        return self.end(now, key, WorkOutcome.LEFT)
+        return self.end(now, key, WorkOutcome.CALLER_DISCONNECTED)
 
     def adopt(self, now: float, work: Work, endpoint: str, started: bool) -> None:
         """Take over a running request that another instance placed.
@@ -180,9 +180,9 @@
             first_token_s = now - started.placed_at
             tokens = started.backlog_tokens
             state.record_first_token(
-                now, first_token_s, self._speed.first_token_s(tokens)
+                now, first_token_s, self._prefill_speed.first_token_s(tokens)
             )
-            self._speed.record(tokens, first_token_s / state.slowdown(now))
+            self._prefill_speed.record(tokens, first_token_s / state.slowdown(now))
         return self._place_waiting(now, state)
 
     def end(self, now: float, key: WorkKey, outcome: WorkOutcome) -> list[Decision]:
@@ -208,7 +208,7 @@
                 state.remove(key)
         return self._place_waiting(now)
 
-    def learn(self, endpoint: str, update: MemoryNews) -> None:
+    def apply_cache_update(self, endpoint: str, update: CacheUpdate) -> None:
         """Apply an engine's update about its cached prompt parts."""
         state = self._endpoints.get(endpoint)
         if state is not None:
@@ -228,7 +228,9 @@
             if now >= waiting.expires_at:
                 del self._waiting[waiting.work.key]
                 self._count_waiting(now, waiting, -1)
-                decisions.append(self._refuse(now, waiting.work, RefusalReason.WAITED))
+                decisions.append(
+                    self._refuse(now, waiting.work, RefusalReason.WAIT_TIMEOUT)
+                )
         return decisions
 
     def _place_waiting(
@@ -274,8 +276,8 @@
         """
         work = waiting.work
         if any(item.preferred != waiting.preferred for item in self._waiting.values()):
-            return self._refuse(now, work, RefusalReason.NO_ROOM)
-        seconds_per_token = self._speed.seconds_per_token
+            return self._refuse(now, work, RefusalReason.NO_CAPACITY)
+        seconds_per_token = self._prefill_speed.seconds_per_token
         own_tokens = _own_prompt_tokens(work)
         cheapest = min(
             (
@@ -293,7 +295,7 @@
         )
         if cheapest is not None:
             return self._place(now, cheapest, work)
-        return self._refuse(now, work, RefusalReason.NO_ROOM)
+        return self._refuse(now, work, RefusalReason.NO_CAPACITY)
 
     def _reselect_endpoint(self, now: float, waiting: _WaitingWork) -> None:
         self._count_waiting_tokens(waiting, -1)
@@ -302,7 +304,7 @@
         self._count_waiting_tokens(waiting, 1)
 
     def _select_endpoint(self, now: float, work: Work) -> str | None:
-        seconds_per_token = self._speed.seconds_per_token
+        seconds_per_token = self._prefill_speed.seconds_per_token
         own_tokens = _own_prompt_tokens(work)
         best: str | None = None
         min_cost_s = math.inf
@@ -395,14 +397,14 @@
 
     def _max_wait_s(self, now: float, state: EndpointState, work: Work) -> float:
         if work.prompt is None:
-            return max(work.patience_s, 0.0)
+            return max(work.max_wait_s, 0.0)
         # Requests that were placed ahead are prefilled first.
         prefill_s = self._uncached_tokens(state, work) * self._seconds_per_token(
             now, state
         )
         prefill_s += self._settings.prefill_ahead_s
-        slack_s = work.aim_s - self._speed.start_s - prefill_s
-        return max(work.patience_s, slack_s, 0.0)
+        slack_s = work.remaining_target_s - self._prefill_speed.start_s - prefill_s
+        return max(work.max_wait_s, slack_s, 0.0)
 
     def _expected_wait_s(self, now: float, waiting: _WaitingWork) -> float:
         """Return the seconds until the preferred endpoint has room."""
@@ -463,9 +465,9 @@
     def _refuse(self, now: float, work: Work, reason: RefusalReason) -> Refused:
         settings = self._settings
         if work.prompt is None:
-            wait_s = settings.retry_least_s
+            wait_s = settings.min_retry_after_s
         else:
-            seconds_per_token = self._speed.seconds_per_token
+            seconds_per_token = self._prefill_speed.seconds_per_token
             usable = [state for state in self._endpoints.values() if state.usable(now)]
             tokens = sum(self._waiting_tokens.values()) + sum(
                 state.backlog_tokens(now, seconds_per_token) for state in usable
@@ -473,12 +475,12 @@
             wait_s = (
                 tokens * seconds_per_token / len(usable)
                 if usable
-                else settings.retry_least_s
+                else settings.min_retry_after_s
             )
         return Refused(
             work.key,
             reason,
-            min(max(wait_s, settings.retry_least_s), settings.retry_most_s),
+            min(max(wait_s, settings.min_retry_after_s), settings.max_retry_after_s),
             work,
         )
 
@@ -495,7 +497,7 @@
 
     def _seconds_per_token(self, now: float, state: EndpointState) -> float:
         """Return the seconds in which an engine prefills a token."""
-        return self._speed.seconds_per_token * state.slowdown(now)
+        return self._prefill_speed.seconds_per_token * state.slowdown(now)
 
     def _count_waiting(self, now: float, waiting: _WaitingWork, change: int) -> None:
         organisation = waiting.work.organisation
@@ -528,7 +530,7 @@
                     duration_s - self._mean_duration_s
                 )
                 self._suspects.clear(ended.fingerprint)
-            case WorkOutcome.BROKEN if ended.fingerprint:
+            case WorkOutcome.DISCONNECTED if ended.fingerprint:
                 self._suspects.record(
                     now,
                     ended.fingerprint,
--- a/borageworks/placement/endpoint_state.py
+++ b/borageworks/placement/endpoint_state.py
@@ -25,7 +25,8 @@
 # Without samples the estimate decays, so that an engine that gets few requests is
 # tried again.
 SLOWDOWN_HALF_LIFE_S = 4.0
-# Cool-down of an endpoint that refused a request for lack of capacity.
+# Cool-down of an endpoint that refused a request for lack of capacity: about the time
+# in which it completes a few requests.
 SHED_COOL_DOWN_S = 0.05
 
 
@@ -160,15 +161,15 @@
     def record(self, now: float, outcome: WorkOutcome) -> None:
         """Update the endpoint's health by the end of a request."""
         match outcome:
-            case WorkOutcome.LEFT:
+            case WorkOutcome.CALLER_DISCONNECTED:
                 return
             case WorkOutcome.SERVED:
                 self.failure_rate -= FAILURE_RATE_GAIN * self.failure_rate
                 self.half_open = False
                 self.suspension_s = 0.0
-            case WorkOutcome.SHED:
+            case WorkOutcome.REFUSED:
                 self.suspended_until = max(self.suspended_until, now + SHED_COOL_DOWN_S)
-            case WorkOutcome.FAILED | WorkOutcome.BROKEN:
+            case WorkOutcome.FAILED | WorkOutcome.DISCONNECTED:
                 self.failure_rate += FAILURE_RATE_GAIN * (1.0 - self.failure_rate)
             case WorkOutcome.UNREACHABLE:
                 self.failure_rate += FAILURE_RATE_GAIN * (1.0 - self.failure_rate)
@@ -177,5 +178,5 @@
                     max(self.suspension_s * 2.0, INITIAL_SUSPENSION_S), MAX_SUSPENSION_S
                 )
                 self.suspended_until = now + self.suspension_s
-            case WorkOutcome.GONE:
+            case WorkOutcome.UNLISTED:
                 self.suspended_until = now + MAX_SUSPENSION_S
--- a/borageworks/placement/memory_news.py
+++ b/borageworks/placement/memory_news.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class KeptPart:
+class CachedPart:
     """Cached tokens of a prompt part for a model; 0 if the part was evicted."""
 
     part: str
@@ -15,25 +15,25 @@
 
 
 @dataclass(frozen=True, slots=True)
-class MemoryNews:
+class CacheUpdate:
     """Changes of an engine's prompt cache, or its whole content.
 
     Parameters
     ----------
     epoch
         Identifies a run of the engine; changes at a restart.
-    next
+    next_sequence
         Sequence number to continue from.
     gap
         Whether changes before these were lost.
-    whole
+    complete
         Whether `parts` are the whole content.
     parts
         Parts in the order of their changes.
     """
 
     epoch: str
-    next: int
+    next_sequence: int
     gap: bool
-    whole: bool
-    parts: tuple[KeptPart, ...]
+    complete: bool
+    parts: tuple[CachedPart, ...]
--- a/borageworks/placement/outcome.py
+++ b/borageworks/placement/outcome.py
@@ -8,16 +8,16 @@
 class WorkOutcome(IntEnum):
     """How a placed request ended at its endpoint.
 
-    LEFT means that the caller disconnected, SHED that the endpoint refused for lack of
-    capacity, BROKEN that its connection closed before the response was complete, as at
-    a crash, FAILED that it responded with an error, and GONE that it is no longer
-    listed.
+    CALLER_DISCONNECTED means that the caller disconnected, REFUSED that the endpoint
+    refused for lack of capacity, DISCONNECTED that its connection closed before the
+    response was complete, as at a crash, FAILED that it responded with an error, and
+    UNLISTED that it is no longer listed.
     """
 
     SERVED = 0
-    LEFT = 1
-    SHED = 2
+    CALLER_DISCONNECTED = 1
+    REFUSED = 2
     UNREACHABLE = 3
     FAILED = 4
-    GONE = 5
-    BROKEN = 6
+    UNLISTED = 5
+    DISCONNECTED = 6
--- a/borageworks/placement/prompt_cache.py
+++ b/borageworks/placement/prompt_cache.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict
 
 from borageworks.gateway.caller_request import Prompt
-from borageworks.placement.memory_news import MemoryNews
+from borageworks.placement.memory_news import CacheUpdate
 
 _PartKey = tuple[str, str]
 
@@ -20,7 +20,7 @@
     Parameters
     ----------
     capacity_tokens
-        Number of tokens that the engine can cache.
+        Tokens that the engine holds in all.
     """
 
     def __init__(self, capacity_tokens: int) -> None:
@@ -55,9 +55,9 @@
             self._insert((prompt.model, part.id), part.tokens)
         self._evict()
 
-    def apply(self, update: MemoryNews) -> None:
+    def apply(self, update: CacheUpdate) -> None:
         """Apply an update from the engine."""
-        if update.whole or update.epoch != self._epoch:
+        if update.complete or update.epoch != self._epoch:
             self._parts.clear()
             self._tokens = 0
         self._epoch = update.epoch
--- a/borageworks/placement/reading_speed.py
+++ b/borageworks/placement/reading_speed.py
@@ -15,7 +15,7 @@
 MAX_SPEEDUP_RATIO = 8.0
 
 
-class ReadingSpeed:
+class PrefillSpeed:
     """Linear regression of the time to the first token on the tokens to prefill.
 
     Parameters
--- a/borageworks/placement/settings.py
+++ b/borageworks/placement/settings.py
@@ -24,7 +24,7 @@
     memory_ratio
         Fraction of an engine's memory that running requests may take; the rest is for
         cached shared parts and for responses as they grow.
-    retry_least_s, retry_most_s
+    min_retry_after_s, max_retry_after_s
         Bounds of the Retry-After of refused requests.
     """
 
@@ -33,5 +33,5 @@
     failure_penalty_s: float = 1.0
     domain_penalty_s: float = 0.002
     memory_ratio: float = 0.6
-    retry_least_s: float = 0.2
-    retry_most_s: float = 3.0
+    min_retry_after_s: float = 0.2
+    max_retry_after_s: float = 3.0
--- a/borageworks/placement/shards.py
+++ b/borageworks/placement/shards.py
@@ -30,7 +30,7 @@
     return int(selected or 0)
 
 
-class HomeShards:
+class ServiceShards:
     """Shards of a service's endpoints, and the shard that each request belongs to.
 
     Parameters
--- a/borageworks/placement/tests/builders.py
+++ b/borageworks/placement/tests/builders.py
@@ -62,10 +62,23 @@
     return Prompt("m", own + shared, generated, tuple(parts))
 
 
-def work(request_prompt=None, organisation="o", aim_s=0.6, instance="i", **changes):
+def work(
+    request_prompt=None,
+    organisation="o",
+    remaining_target_s=0.6,
+    instance="i",
+    **changes,
+):
     """Return a request that needs an endpoint."""
     key = instance, next(_NUMBERS)
-    return Work(key, organisation, aim_s, aim_s / 4, request_prompt, **changes)
+    return Work(
+        key,
+        organisation,
+        remaining_target_s,
+        remaining_target_s / 4,
+        request_prompt,
+        **changes,
+    )
 
 
 @dataclass
@@ -114,7 +127,7 @@
             match decision:
                 case Refused():
                     self._increment(self.refused, request, 1)
-                case Placed(endpoint=name, unread_tokens=uncached):
+                case Placed(endpoint=name, uncached_tokens=uncached):
                     self.prefilled_tokens += uncached
                     start = max(self.busy_until.get(name, 0.0), self.now)
                     start += (
@@ -133,7 +146,9 @@
         request, submitted_at = self._submitted[key]
         # Events are processed up to one step after they happen.
         first_token_s = self.now - STEP_S - submitted_at
-        kind = self.on_time if first_token_s <= request.aim_s else self.late
+        kind = (
+            self.on_time if first_token_s <= request.remaining_target_s else self.late
+        )
         self._increment(kind, request, 1)
         assert request.prompt is not None
         tokens = request.prompt.tokens + 2 * request.prompt.generated_tokens
--- a/borageworks/placement/tests/test_components.py
+++ b/borageworks/placement/tests/test_components.py
@@ -5,13 +5,13 @@
 from testtools import TestCase
 
 from borageworks.gateway.caller_request import Prompt, PromptPart
-from borageworks.placement.memory_news import KeptPart, MemoryNews
+from borageworks.placement.memory_news import CachedPart, CacheUpdate
 from borageworks.placement.prompt_cache import PromptCache
-from borageworks.placement.reading_speed import ReadingSpeed
+from borageworks.placement.reading_speed import PrefillSpeed
 from borageworks.placement.retry_window import SAFETY_RATIO, RetryWindow
 from borageworks.placement.shards import (
     MAX_CACHED_PARTS,
-    HomeShards,
+    ServiceShards,
     shard_count,
     shard_of_endpoint,
 )
@@ -62,17 +62,17 @@
     def test_update_after_a_restart_replaces_all_parts(self):
         """Guards against cached parts that outlive a restart of the engine."""
         cache = PromptCache(1000)
-        cache.apply(MemoryNews("1", 1, False, True, (KeptPart("a", 10, "m"),)))
-        cache.apply(MemoryNews("2", 1, False, False, (KeptPart("b", 5, "m"),)))
+        cache.apply(CacheUpdate("1", 1, False, True, (CachedPart("a", 10, "m"),)))
+        cache.apply(CacheUpdate("2", 1, False, False, (CachedPart("b", 5, "m"),)))
         self.assertEqual(5, cache.tokens)
-        cache.apply(MemoryNews("2", 2, False, False, (KeptPart("b", 0, "m"),)))
+        cache.apply(CacheUpdate("2", 2, False, False, (CachedPart("b", 0, "m"),)))
         self.assertEqual(0, cache.tokens)
 
 
 class ReadingSpeedTest(TestCase):
     def test_learns_start_and_speed(self):
         """Guards against a fit that is wrong in either coefficient."""
-        speed = ReadingSpeed(10_000.0)
+        speed = PrefillSpeed(10_000.0)
         for step in range(400):
             tokens = 500.0 * (step % 20)
             speed.record(tokens, 0.08 + tokens / 60_000)
@@ -81,7 +81,7 @@
 
     def test_adopted_speed_replaces_the_prior(self):
         """Guards against a new owner that starts from the prior."""
-        speed = ReadingSpeed(10_000.0)
+        speed = PrefillSpeed(10_000.0)
         self.assertFalse(speed.learned)
         speed.adopt(1 / 50_000, 0.1)
         self.assertTrue(speed.learned)
@@ -90,7 +90,7 @@
 
     def test_outliers_do_not_stop_traffic(self):
         """Guards against outliers that make every engine look too slow."""
-        speed = ReadingSpeed(10_000.0)
+        speed = PrefillSpeed(10_000.0)
         for _ in range(50):
             speed.record(5000.0, 60.0)
         self.assertTrue(speed.seconds_per_token <= 8 / 10_000)
@@ -153,7 +153,7 @@
 
     def test_requests_with_one_shared_part_have_one_shard(self):
         """Guards against a shared part that is prefilled in every shard."""
-        shards = HomeShards(tuple(f"endpoint-{number}" for number in range(40)))
+        shards = ServiceShards(tuple(f"endpoint-{number}" for number in range(40)))
         self.assertEqual(3, shards.count)
         found = {
             shards.find(prompt(shared=10, shared_id="x"), str(n)) for n in range(50)
@@ -172,9 +172,11 @@
     def test_cached_shard_matches_a_new_lookup(self):
         """Guards against shards of a request that differ between instances."""
         names = tuple(f"endpoint-{number}" for number in range(40))
-        shards = HomeShards(names)
+        shards = ServiceShards(names)
         for n in range(MAX_CACHED_PARTS + 50):
             shards.find(prompt(shared=10, shared_id=f"x{n}"), "")
         for n in (0, 100, MAX_CACHED_PARTS + 49):
             asked = prompt(shared=10, shared_id=f"x{n}")
-            self.assertEqual(HomeShards(names).find(asked, ""), shards.find(asked, ""))
+            self.assertEqual(
+                ServiceShards(names).find(asked, ""), shards.find(asked, "")
+            )
--- a/borageworks/placement/tests/test_dispatcher.py
+++ b/borageworks/placement/tests/test_dispatcher.py
@@ -3,7 +3,7 @@
 from testtools import TestCase
 
 from borageworks.placement.decisions import Placed, RefusalReason, Refused
-from borageworks.placement.memory_news import KeptPart, MemoryNews
+from borageworks.placement.memory_news import CachedPart, CacheUpdate
 from borageworks.placement.outcome import WorkOutcome
 from borageworks.placement.tests.builders import (
     endpoint,
@@ -38,9 +38,11 @@
         first_engine = self.placed(dispatcher.submit(0.0, first))
         dispatcher.end(0.5, first.key, WorkOutcome.SERVED)
         other = next(name for name in dispatcher.endpoints if name != first_engine)
-        dispatcher.learn(first_engine, MemoryNews("1", 5, False, True, ()))
-        cached = (KeptPart("s", 8000, "m"),)
-        dispatcher.learn(other, MemoryNews("1", 5, False, True, cached))
+        dispatcher.apply_cache_update(
+            first_engine, CacheUpdate("1", 5, False, True, ())
+        )
+        cached = (CachedPart("s", 8000, "m"),)
+        dispatcher.apply_cache_update(other, CacheUpdate("1", 5, False, True, cached))
         second = work(prompt(shared=8000, own=100))
         self.assertEqual(other, self.placed(dispatcher.submit(1.0, second)))
 
@@ -95,15 +97,15 @@
         (state,) = dispatcher.endpoints.values()
         self.assertEqual((0, {}), (state.cache.tokens, state.running))
         (decision,) = dispatcher.submit(1.0, work(prompt(shared=5000, own=10)))
-        self.assertEqual(5010, decision.unread_tokens)
+        self.assertEqual(5010, decision.uncached_tokens)
 
     def test_plain_requests_spread_and_wait_for_a_slot(self):
         """Guards against more requests at an endpoint than it has slots."""
         dispatcher = plain_dispatcher(count=2, slots=1)
-        running = [work(aim_s=0.2) for _ in range(2)]
+        running = [work(remaining_target_s=0.2) for _ in range(2)]
         names = {self.placed(dispatcher.submit(0.0, item)) for item in running}
         self.assertEqual(2, len(names))
-        waiting = work(aim_s=0.2)
+        waiting = work(remaining_target_s=0.2)
         self.assertEqual([], dispatcher.submit(0.0, waiting))
         (decision,) = dispatcher.end(0.03, running[0].key, WorkOutcome.SERVED)
         self.assertEqual(waiting.key, decision.key)
@@ -111,11 +113,11 @@
     def test_request_that_waits_too_long_is_refused(self):
         """Guards against queueing a request until its caller times out."""
         dispatcher = plain_dispatcher(count=1, slots=1)
-        dispatcher.submit(0.0, work(aim_s=0.2))
-        waiting = work(aim_s=0.2)
+        dispatcher.submit(0.0, work(remaining_target_s=0.2))
+        waiting = work(remaining_target_s=0.2)
         dispatcher.submit(0.0, waiting)
         (decision,) = dispatcher.tick(0.25)
-        self.assertEqual(RefusalReason.WAITED, decision.reason)
+        self.assertEqual(RefusalReason.WAIT_TIMEOUT, decision.reason)
         self.assertEqual(0, dispatcher.waiting)
 
     def test_lost_instance_frees_its_slots(self):
@@ -123,7 +125,7 @@
         dispatcher = plain_dispatcher(count=1, slots=1)
         dispatcher.submit(0.0, work(instance="lost"))
         dispatcher.submit(0.0, work(instance="lost"))
-        waiting = work(instance="other", aim_s=2.0)
+        waiting = work(instance="other", remaining_target_s=2.0)
         dispatcher.submit(0.0, waiting)
         decisions = dispatcher.drop_instance(0.1, "lost")
         self.assertEqual([waiting.key], [decision.key for decision in decisions])
@@ -156,7 +158,7 @@
             dispatcher.end(now, request.key, outcome)
         return decision
 
-    def break_at_three(self, dispatcher, outcome=WorkOutcome.BROKEN):
+    def break_at_three(self, dispatcher, outcome=WorkOutcome.DISCONNECTED):
         names: list[str] = []
         for step in range(3):
             placed = self.run_once(dispatcher, step * 0.1, outcome, excluded=names)
@@ -183,6 +185,6 @@
         """Guards against refusing a request for crashes that it did not cause."""
         dispatcher = engine_dispatcher(4)
         for step in range(6):
-            outcome = WorkOutcome.SERVED if step % 2 else WorkOutcome.BROKEN
+            outcome = WorkOutcome.SERVED if step % 2 else WorkOutcome.DISCONNECTED
             decision = self.run_once(dispatcher, step * 1.0, outcome)
             self.assertIsInstance(decision, Placed)
--- a/borageworks/placement/tests/test_dispatcher_totals.py
+++ b/borageworks/placement/tests/test_dispatcher_totals.py
@@ -62,7 +62,9 @@
                         shared_id=f"s{number % 4}",
                     )
                 request = work(
-                    request_prompt, f"o{number % 3}", aim_s=0.2 + number / 1000
+                    request_prompt,
+                    f"o{number % 3}",
+                    remaining_target_s=0.2 + number / 1000,
                 )
                 self.submitted[request.key] = request
                 self.waiting.append(request.key)
--- a/borageworks/placement/tests/test_load_patterns.py
+++ b/borageworks/placement/tests/test_load_patterns.py
@@ -103,7 +103,10 @@
         simulation = EngineSimulation(engine_dispatcher(count=4))
         for _ in range(8):
             simulation.submit(
-                work(prompt(own=3000, shared=6000, shared_id="hot"), aim_s=0.6)
+                work(
+                    prompt(own=3000, shared=6000, shared_id="hot"),
+                    remaining_target_s=0.6,
+                )
             )
         simulation.advance(2.0)
         self.assertEqual({}, simulation.refused)
@@ -198,7 +201,7 @@
         )
         dispatcher.set_endpoints(simulation.now, [*engines(2), endpoint("e9")])
         for _ in range(6):
-            simulation.submit(work(prompt(own=3000), aim_s=2.0))
+            simulation.submit(work(prompt(own=3000), remaining_target_s=2.0))
         counts = sorted(len(s.running) for s in dispatcher.endpoints.values())
         self.assertTrue(counts[-1] <= 3, counts)
 
--- a/borageworks/placement/work.py
+++ b/borageworks/placement/work.py
@@ -24,9 +24,9 @@
         Entry instance of the request, and its number there.
     organisation
         Organisation that the request is charged to.
-    aim_s
+    remaining_target_s
         Seconds left of the target latency to the first output; negative if exceeded.
-    patience_s
+    max_wait_s
         Seconds that the request may wait for an endpoint even if it exceeds its target
         latency.
     prompt
@@ -39,8 +39,8 @@
 
     key: WorkKey
     organisation: str
-    aim_s: float
-    patience_s: float
+    remaining_target_s: float
+    max_wait_s: float
     prompt: Prompt | None
     excluded: frozenset[str] = frozenset()
     fingerprint: bytes = b""
--- a/borageworks/platform/engine_memory.py
+++ b/borageworks/platform/engine_memory.py
@@ -7,7 +7,7 @@
 import orjson
 
 from borageworks.exceptions import EndpointReplyMalformedError
-from borageworks.placement.memory_news import KeptPart, MemoryNews
+from borageworks.placement.memory_news import CachedPart, CacheUpdate
 
 EVENTS_PATH = "/kv-events"
 LIST_PATH = "/kv-list"
@@ -19,7 +19,7 @@
     return f"{EVENTS_PATH}?since={since}"
 
 
-def decode_events(data: bytes) -> MemoryNews:
+def decode_events(data: bytes) -> CacheUpdate:
     """Return the cache changes that an engine reports.
 
     Raises
@@ -31,10 +31,10 @@
         body: Any = orjson.loads(data)
         # Row: sequence number, sign, unused text, part, cached tokens, model.
         changes = tuple(
-            KeptPart(str(row[3]), int(row[4]) if row[1] == "+" else 0, str(row[5]))
+            CachedPart(str(row[3]), int(row[4]) if row[1] == "+" else 0, str(row[5]))
             for row in body["events"]
         )
-        return MemoryNews(
+        return CacheUpdate(
             str(body["epoch"]), int(body["next"]), bool(body["lost"]), False, changes
         )
     except (ValueError, KeyError, IndexError, TypeError) as error:
@@ -43,15 +43,15 @@
         ) from error
 
 
-def decode_list(data: bytes) -> MemoryNews:
+def decode_list(data: bytes) -> CacheUpdate:
     """Return all parts that an engine has cached; raises like `decode_events`."""
     try:
         body: Any = orjson.loads(data)
         # Row: unused text, part, cached tokens, model.
         cached_parts = tuple(
-            KeptPart(str(row[1]), int(row[2]), str(row[3])) for row in body["held"]
+            CachedPart(str(row[1]), int(row[2]), str(row[3])) for row in body["held"]
         )
-        return MemoryNews(
+        return CacheUpdate(
             str(body["epoch"]), int(body["next"]), False, True, cached_parts
         )
     except (ValueError, KeyError, IndexError, TypeError) as error:
--- a/borageworks/platform/tests/test_decoding.py
+++ b/borageworks/platform/tests/test_decoding.py
@@ -17,7 +17,7 @@
     SettingsInvalidError,
 )
 from borageworks.gateway.route import RetryPolicy
-from borageworks.placement.memory_news import KeptPart
+from borageworks.placement.memory_news import CachedPart
 from borageworks.platform.answers import decode_response_head
 from borageworks.platform.configuration import decode_configuration
 from borageworks.platform.engine_memory import decode_events, decode_list
@@ -269,13 +269,13 @@
                 "events": [[7, "+", "", "aa", 10, "m"], [8, "-", "", "bb", 5, "m"]],
             }
         )
-        memory_update = decode_events(events)
+        cache_update = decode_events(events)
         self.assertEqual(
-            (KeptPart("aa", 10, "m"), KeptPart("bb", 0, "m")), memory_update.parts
+            (CachedPart("aa", 10, "m"), CachedPart("bb", 0, "m")), cache_update.parts
         )
         listing = {"epoch": "e", "next": 9, "held": [["", "aa", 10, "m"]]}
         self.assertEqual(
-            (KeptPart("aa", 10, "m"),), decode_list(orjson.dumps(listing)).parts
+            (CachedPart("aa", 10, "m"),), decode_list(orjson.dumps(listing)).parts
         )
 
     def test_arbitrary_bytes_give_an_update_or_a_typed_error(self):
