--- a/borageworks/fair/aggregator.py
+++ b/borageworks/fair/aggregator.py
@@ -84,7 +84,7 @@
                 )
             )
 
-    def forget(self, owner: str) -> None:
+    def remove_owner(self, owner: str) -> None:
         """Remove an owner that left; the units it served stay in the totals."""
         self._ledger.retire(owner)
         for demands in self._demands.values():
--- a/borageworks/fair/bound.py
+++ b/borageworks/fair/gap_bound.py
@@ -9,7 +9,7 @@
     shares: tuple[float, float],
     *,
     interval_s: float = 0.0,
-    rate: float = 0.0,
+    normalised_rate: float = 0.0,
     gain: float = 1.0,
 ) -> float:
     """Return the maximum gap between two backlogged organisations.
@@ -27,7 +27,7 @@
         Share of each organisation.
     interval_s
         Seconds between exchanges of the owners; 0 for one owner.
-    rate
+    normalised_rate
         Rate of the pool in units/s divided by the smallest share.
     gain
         Integral gain of the correction.
@@ -42,4 +42,4 @@
     max_units_f, max_units_g = max_units
     share_f, share_g = shares
     queueing = (slots + 1) * (max_units_f / share_f + max_units_g / share_g)
-    return queueing + interval_s * rate * (1 + 1 / gain)
+    return queueing + interval_s * normalised_rate * (1 + 1 / gain)
--- a/borageworks/fair/queue.py
+++ b/borageworks/fair/queue.py
@@ -8,7 +8,7 @@
 
 from borageworks.fair.backlog import Backlog
 from borageworks.fair.heap import IndexedHeap
-from borageworks.fair.pick import Pick
+from borageworks.fair.selection import Selection
 
 # A running request is charged every second, so after a minute without a charge none of
 # the organisation's requests is running.
@@ -93,7 +93,7 @@
         account.backlog.set(now, entry, waiting)
         self._entries.setdefault(entry, set()).add(organisation)
 
-    def take(self, now: float) -> Pick | None:
+    def take(self, now: float) -> Selection | None:
         """Remove and return the request to serve next, or None if none waits."""
         self._advance_clock(now)
         organisation = self._heap.peek()
@@ -107,9 +107,9 @@
             self._requeue(organisation, account)
         else:
             self._set_idle(organisation, account)
-        return Pick(entry, organisation)
+        return Selection(entry, organisation)
 
-    def serve(self, organisation: str) -> None:
+    def record_service(self, organisation: str) -> None:
         """Advance the pool's virtual time for a request served without `take`.
 
         For callers that choose by `virtual_time` because not every waiting request
--- a/borageworks/fair/pick.py
+++ b/borageworks/fair/selection.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Pick:
+class Selection:
     """Organisation to serve next and the entry instance at which its request waits."""
 
     entry: str
--- a/borageworks/fair/tests/fake_engine.py
+++ b/borageworks/fair/tests/fake_engine.py
@@ -1,6 +1,6 @@
 """Simulated model engine for the tests of the concurrency window."""
 
-from borageworks.fair.load import LoadReport
+from borageworks.fair.load_report import LoadReport
 
 
 class FakeEngine:
--- a/borageworks/fair/tests/fleet_model.py
+++ b/borageworks/fair/tests/fleet_model.py
@@ -12,9 +12,9 @@
 from typing import Any
 
 from borageworks.config.settings import FairSettings
-from borageworks.fair.bound import gap_bound
 from borageworks.fair.cost import CostEstimator
 from borageworks.fair.drift import DriftCorrection
+from borageworks.fair.gap_bound import gap_bound
 from borageworks.fair.ledger import ServiceLedger
 from borageworks.fair.queue import FairQueue
 from borageworks.fair.tests.proportional import ProportionalCorrection
@@ -340,7 +340,7 @@
                 (self.max_costs[first], self.max_costs[second]),
                 (self.shares[first], self.shares[second]),
                 interval_s=self.rule.settings.exchange_interval_s if self.rule else 0.0,
-                rate=rate / min(self.shares.values()),
+                normalised_rate=rate / min(self.shares.values()),
                 gain=self.rule.gain if self.rule else 1.0,
             )
             for first, second in combinations(self.names, 2)
--- a/borageworks/fair/tests/naive_queue.py
+++ b/borageworks/fair/tests/naive_queue.py
@@ -1,6 +1,6 @@
 """Reference implementation of the fair queue that scans all organisations."""
 
-from borageworks.fair.pick import Pick
+from borageworks.fair.selection import Selection
 
 
 class NaiveQueue:
@@ -67,7 +67,7 @@
         if not self.waiting[key]:
             del self.waiting[key]
         self.order[organisation] = self._next_sequence()
-        return Pick(key[0], organisation)
+        return Selection(key[0], organisation)
 
     def charge(self, organisation, units):
         self._ensure_state(organisation)
--- a/borageworks/fair/tests/naive_window.py
+++ b/borageworks/fair/tests/naive_window.py
@@ -1,6 +1,6 @@
 """Reference implementation of the window that replays the event history."""
 
-from borageworks.fair.load import LoadReport
+from borageworks.fair.load_report import LoadReport
 
 
 class NaiveWindow:
--- a/borageworks/fair/tests/test_queue.py
+++ b/borageworks/fair/tests/test_queue.py
@@ -215,7 +215,7 @@
         queue = FairQueue()
         queue.charge("large", 1000.0)
         queue.set_demand(0.0, "e1", "waiting", 1)
-        queue.serve("large")
+        queue.record_service("large")
         queue.charge("waiting", 10.0)
         self.assertTrue(
             queue.virtual_time("new") < queue.virtual_time("waiting"),
--- a/borageworks/fair/tests/test_window.py
+++ b/borageworks/fair/tests/test_window.py
@@ -5,10 +5,10 @@
 from hypothesis import strategies as st
 
 from borageworks.config.settings import WindowSettings
-from borageworks.fair.load import LoadReport
+from borageworks.fair.load_report import LoadReport
 from borageworks.fair.tests.fake_engine import FakeEngine
 from borageworks.fair.tests.naive_window import NaiveWindow
-from borageworks.fair.window import Window
+from borageworks.fair.window import ConcurrencyWindow
 
 TARGET_S = WindowSettings().token_interval_target_s
 REPORTS = st.builds(
@@ -34,7 +34,7 @@
     @given(STEPS, st.sampled_from([(1, 1), (4, 20), (8, 256)]))
     @settings(derandomize=True, deadline=None, max_examples=400)
     def test_same_limit_and_slots_as_a_replay_of_all_events(self, steps, bounds):
-        window = Window(WindowSettings(), *bounds)
+        window = ConcurrencyWindow(WindowSettings(), *bounds)
         naive, now, failed = NaiveWindow(WindowSettings(), *bounds), 0.0, False
         for delay, event in steps:
             now += delay
@@ -45,7 +45,7 @@
                     if not free:
                         continue
                 case "occupy":
-                    window.occupy(now)
+                    window.force_acquire(now)
                 case "release" if naive.in_use():
                     window.release(now)
                 case "release":
@@ -75,7 +75,7 @@
 
     def setUp(self):
         super().setUp()
-        self.window = Window(WindowSettings(), 8, 256)
+        self.window = ConcurrencyWindow(WindowSettings(), 8, 256)
         self.engine = FakeEngine()
         self.now = 0.0
 
@@ -150,7 +150,7 @@
 
     def test_delayed_report_after_a_burst_does_not_collapse_the_window(self):
         """Guards against a limit of 1 caused by a report of a load that has ended."""
-        window = Window(WindowSettings(), 60, 60)
+        window = ConcurrencyWindow(WindowSettings(), 60, 60)
         for second in range(3):
             window.on_report(float(second), LoadReport(60, 0, 0.06, "1"))
         self.assertGreaterEqual(window.limit, 50)
@@ -164,7 +164,7 @@
 
     def test_window_settles_at_the_batch_limit_of_an_engine(self):
         """Guards against a window that oscillates around the batch limit."""
-        window = Window(WindowSettings(), 8, 64)
+        window = ConcurrencyWindow(WindowSettings(), 8, 64)
         limits = []
         for second in range(60):
             while window.acquire(float(second)):
@@ -182,7 +182,7 @@
     """Endpoints without a token interval, at most 20 requests in parallel."""
 
     def run_service(self, seconds, report_waiting, slowdown=1.0):
-        window, time_s = Window(WindowSettings(), 4, 64), 0.0
+        window, time_s = ConcurrencyWindow(WindowSettings(), 4, 64), 0.0
         for second in range(seconds):
             while window.acquire(float(second)):
                 pass
@@ -210,7 +210,7 @@
 
     def test_slow_service_keeps_its_initial_window(self):
         """Guards against decreasing the window for time that is not queueing."""
-        window = Window(WindowSettings(), 4, 64)
+        window = ConcurrencyWindow(WindowSettings(), 4, 64)
         for second in range(100):
             while window.acquire(float(second)):
                 pass
--- a/borageworks/fair/window.py
+++ b/borageworks/fair/window.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from borageworks.config.settings import WindowSettings
-from borageworks.fair.load import LoadReport
+from borageworks.fair.load_report import LoadReport
 
 # The window increases only below this fraction of the target token interval.
 INCREASE_THRESHOLD_RATIO = 0.8
@@ -23,7 +23,7 @@
 STEPS_TO_MAX = 64
 
 
-class Window:
+class ConcurrencyWindow:
     """Adaptive limit of concurrent requests of one endpoint.
 
     The limit increases while the window is full and the token interval is below 0.8 of
@@ -96,10 +96,10 @@
         self._decay(now)
         if self._in_use >= self.limit:
             return False
-        self.occupy(now)
+        self.force_acquire(now)
         return True
 
-    def occupy(self, now: float) -> None:
+    def force_acquire(self, now: float) -> None:
         """Occupy a slot for a request already running, even above the limit."""
         self._decay(now)
         self._in_use += 1
--- a/borageworks/placement/dispatcher.py
+++ b/borageworks/placement/dispatcher.py
@@ -441,7 +441,7 @@
         return max(missing_slots, 0) * self._mean_duration_s / slots
 
     def _place(self, now: float, state: EndpointState, work: Work) -> Placed:
-        self._fair_queue.serve(work.organisation)
+        self._fair_queue.record_service(work.organisation)
         self._fair_queue.charge(work.organisation, self._charged_units(state, work))
         running = self._add_running(now, state, work)
         return Placed(work.key, state.endpoint.id, running.uncached_tokens)
--- a/borageworks/router/exchange.py
+++ b/borageworks/router/exchange.py
@@ -110,7 +110,7 @@
     def member_dead(self, instance: str) -> None:
         """Drop a dead owner's demand."""
         for aggregator in self._aggregators.values():
-            aggregator.forget(instance)
+            aggregator.remove_owner(instance)
 
     def receive(self, sender: str, message: ServiceReport | ServiceError) -> None:
         """Handle a report or an error."""
--- a/borageworks/router/owned.py
+++ b/borageworks/router/owned.py
@@ -5,7 +5,7 @@
 from dataclasses import dataclass, field
 
 from borageworks.catalog.objects import Endpoint
-from borageworks.fair.window import Window
+from borageworks.fair.window import ConcurrencyWindow
 
 
 @dataclass(frozen=True, slots=True)
@@ -43,7 +43,7 @@
     """
 
     endpoint: Endpoint
-    window: Window
+    window: ConcurrencyWindow
     grants_from: float
     up: bool = True
     incarnation: str = ""
--- a/borageworks/router/owner.py
+++ b/borageworks/router/owner.py
@@ -12,8 +12,8 @@
 from borageworks.endpoints.transport import Transport
 from borageworks.events import Event, emit
 from borageworks.exceptions import EndpointFailedError, EndpointUnreachableError
-from borageworks.fair.load import LoadReport
-from borageworks.fair.window import Window
+from borageworks.fair.load_report import LoadReport
+from borageworks.fair.window import ConcurrencyWindow
 from borageworks.metrics import Metrics
 from borageworks.router.grants import GivenGrant, GrantTable
 from borageworks.router.isolation import IsolationQueue
@@ -141,7 +141,7 @@
                 continue
             self._owned[endpoint.id] = OwnedEndpoint(
                 endpoint,
-                Window(
+                ConcurrencyWindow(
                     self._settings.window,
                     endpoint.window_initial,
                     endpoint.window_max,
@@ -262,7 +262,7 @@
     ) -> Grant:
         name = owned.endpoint.pool
         pool = self._pool(name)
-        owned.window.occupy(now)
+        owned.window.force_acquire(now)
         estimate = pool.costs.estimate(organisation, name, None)
         pool.queue.charge(organisation, estimate)
         grant = GivenGrant(
@@ -383,7 +383,7 @@
         owned = self._owned.get(running.endpoint)
         if owned is None or self._grants.get(running.grant_id) is not None:
             return
-        owned.window.occupy(self._timers.now())
+        owned.window.force_acquire(self._timers.now())
         self._grants.add(
             GivenGrant(
                 running.grant_id,
--- a/borageworks_emulator/scenario.py
+++ b/borageworks_emulator/scenario.py
@@ -18,7 +18,7 @@
 import click
 
 from borageworks.config.settings import FairSettings
-from borageworks.fair.bound import gap_bound
+from borageworks.fair.gap_bound import gap_bound
 from borageworks_emulator import targets
 from borageworks_emulator.analysis import Excuse, Gap, Measures, analyse
 from borageworks_emulator.baseline import run_central
@@ -357,7 +357,7 @@
         (largest, largest),
         (shares[gap.first], shares[gap.second]),
         interval_s=fair.exchange_interval_s,
-        rate=topology.capacity(pool) / min(shares.values()),
+        normalised_rate=topology.capacity(pool) / min(shares.values()),
         gain=fair.correction_gain,
     )
 
