--- a/borageworks/router/entry.py
+++ b/borageworks/router/entry.py
@@ -35,7 +35,7 @@
 from borageworks.router.held import HeldGrant
 from borageworks.router.slots import Slots
 from borageworks.routing.budget import RetryBudget
-from borageworks.routing.demand import DemandPlan, TellOwner
+from borageworks.routing.demand import DemandPlan, SendDemand
 from borageworks.routing.queue import EntryQueue
 from borageworks.routing.rendezvous import rendezvous
 from borageworks.routing.suspects import CrashSuspects, Verdict
@@ -159,14 +159,14 @@
 
     def link_lost(self, instance: str) -> None:
         """Advertise demand again, after the link to an owner was lost."""
-        self._demand.forget_owner(instance)
+        self._demand.remove_owner(instance)
         self._slots.link_lost(instance)
         self._schedule_flush()
 
     def receive_grant(self, sender: str, grant: Grant) -> None:
         """Give the slot to the organisation's oldest request, or return it."""
         now = self._timers.now()
-        self._demand.granted(sender, grant.pool, grant.organisation)
+        self._demand.record_grant(sender, grant.pool, grant.organisation)
         request = self._queue.pop(now, grant.pool, grant.organisation)
         if request is None:
             self._metrics.count("grants_unused")
@@ -280,7 +280,7 @@
             self._slots.release(held, Outcome.CANCELLED)
             raise
         pool = held.grant.pool
-        keep = not self._queue.waiting_for(pool)
+        keep = not self._queue.has_waiting(pool)
         self._slots.release(held, Outcome.COMPLETED, exchange, keep=keep)
         if held.alone:
             self._suspects.clear(fingerprint)
@@ -335,7 +335,7 @@
                 raise RequestSuspectedError(
                     "endpoints crashed while they ran this request", ran=ran
                 )
-            case Verdict.ALONE:
+            case Verdict.ISOLATED:
                 future = self._queue_alone(request, fingerprint)
             case Verdict.CLEAR:
                 future = self._queue_shared(now, request, again)
@@ -357,7 +357,7 @@
     def _take_standing(self, call: Call) -> HeldGrant | None:
         """Use a kept slot, unless requests wait for the pool already."""
         pool = call.service.pool
-        if self._queue.waiting_for(pool):
+        if self._queue.has_waiting(pool):
             return None
         while (held := self._slots.take_standing(pool, call.organisation)) is not None:
             endpoint = self._replica.endpoints.get(held.grant.endpoint)
@@ -477,7 +477,7 @@
             self._tell_alone(waiting)
         self._slots.refresh(now)
 
-    def _tell(self, actions: list[TellOwner]) -> None:
+    def _tell(self, actions: list[SendDemand]) -> None:
         for action in actions:
             self._send(action.owner, action.demand)
 
--- a/borageworks/routing/demand.py
+++ b/borageworks/routing/demand.py
@@ -16,7 +16,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TellOwner:
+class SendDemand:
     """Send `demand` to `owner`."""
 
     owner: str
@@ -90,31 +90,31 @@
         entry.waiting = waiting
         self._changed.add(key)
 
-    def granted(self, owner: str, pool: str, organisation: str) -> None:
+    def record_grant(self, owner: str, pool: str, organisation: str) -> None:
         """Record a grant, for which the owner has reduced its count by one."""
         entry = self._entries.get((pool, organisation))
         if entry is not None and entry.advertised.get(owner, 0) > 0:
             entry.advertised[owner] -= 1
 
-    def forget_owner(self, owner: str) -> None:
+    def remove_owner(self, owner: str) -> None:
         """Discard the counts sent to an owner, after its link was lost."""
         for key, entry in self._entries.items():
             if entry.advertised.pop(owner, None) is not None:
                 self._changed.add(key)
 
-    def flush(self, now: float) -> list[TellOwner]:
+    def flush(self, now: float) -> list[SendDemand]:
         """Return the messages for changes since the last call."""
         changed, self._changed = self._changed, set()
-        actions: list[TellOwner] = []
+        actions: list[SendDemand] = []
         for key in changed:
             entry = self._entries.get(key)
             if entry is not None and entry.waiting > 0:
                 self._advertise(key, entry, actions)
         return actions
 
-    def tick(self, now: float) -> list[TellOwner]:
+    def tick(self, now: float) -> list[SendDemand]:
         """Escalate demand that still waits and withdraw demand that has ended."""
-        actions: list[TellOwner] = []
+        actions: list[SendDemand] = []
         for key, entry in list(self._entries.items()):
             if entry.waiting == 0:
                 self._withdraw(now, key, entry, actions)
@@ -122,15 +122,15 @@
                 self._escalate(now, key, entry, actions)
         return actions
 
-    def refresh(self, now: float) -> list[TellOwner]:
+    def refresh(self, now: float) -> list[SendDemand]:
         """Return a message for every count that differs from the one last sent."""
-        actions: list[TellOwner] = []
+        actions: list[SendDemand] = []
         for (pool, organisation), entry in self._entries.items():
             for owner, count in entry.advertised.items():
                 if count != entry.waiting:
                     entry.advertised[owner] = entry.waiting
                     actions.append(
-                        TellOwner(owner, Demand(pool, organisation, entry.waiting))
+                        SendDemand(owner, Demand(pool, organisation, entry.waiting))
                     )
         return actions
 
@@ -142,7 +142,7 @@
         now: float,
         key: DemandKey,
         entry: _Advertisement,
-        actions: list[TellOwner],
+        actions: list[SendDemand],
     ) -> None:
         if entry.max_owners < len(self._candidates(key[0])):
             entry.max_owners *= 2
@@ -150,7 +150,7 @@
             self._advertise(key, entry, actions)
 
     def _advertise(
-        self, key: DemandKey, entry: _Advertisement, actions: list[TellOwner]
+        self, key: DemandKey, entry: _Advertisement, actions: list[SendDemand]
     ) -> None:
         pool, organisation = key
         for owner in self._candidates(pool)[: entry.max_owners]:
@@ -158,7 +158,7 @@
             if advertised == 0 or entry.waiting >= RESEND_GROWTH_FACTOR * advertised:
                 entry.advertised[owner] = entry.waiting
                 actions.append(
-                    TellOwner(owner, Demand(pool, organisation, entry.waiting))
+                    SendDemand(owner, Demand(pool, organisation, entry.waiting))
                 )
 
     def _withdraw(
@@ -166,13 +166,13 @@
         now: float,
         key: DemandKey,
         entry: _Advertisement,
-        actions: list[TellOwner],
+        actions: list[SendDemand],
     ) -> None:
         if entry.emptied_at is None or now - entry.emptied_at < WITHDRAW_DELAY_S:
             return
         pool, organisation = key
         actions.extend(
-            TellOwner(owner, Demand(pool, organisation, 0))
+            SendDemand(owner, Demand(pool, organisation, 0))
             for owner, advertised in entry.advertised.items()
             if advertised > 0
         )
--- a/borageworks/routing/queue.py
+++ b/borageworks/routing/queue.py
@@ -37,7 +37,7 @@
         """Return the number of an organisation's requests that wait for a pool."""
         return len(self._queues.get((pool, organisation), ()))
 
-    def waiting_for(self, pool: str) -> bool:
+    def has_waiting(self, pool: str) -> bool:
         """Return whether any request waits for a pool."""
         return pool in self._per_pool
 
--- a/borageworks/routing/suspects.py
+++ b/borageworks/routing/suspects.py
@@ -18,7 +18,7 @@
     """How a request with a fingerprint may run."""
 
     CLEAR = "clear"
-    ALONE = "alone"
+    ISOLATED = "alone"
     REFUSED = "refused"
 
 
@@ -73,7 +73,7 @@
         if record.crashed_in_isolation or len(record.crashes) >= MAX_CRASHES:
             return Verdict.REFUSED
         if len(record.crashes) >= MIN_CRASHES_FOR_ISOLATION:
-            return Verdict.ALONE
+            return Verdict.ISOLATED
         return Verdict.CLEAR
 
     def _expire(self, now: float) -> None:
--- a/borageworks/routing/tests/test_budget.py
+++ b/borageworks/routing/tests/test_budget.py
@@ -45,7 +45,7 @@
         suspects.record(0.0, b"bad", "e1", "1", isolated=False)
         self.assertEqual(Verdict.CLEAR, suspects.verdict(0.0, b"bad"))
         suspects.record(1.0, b"bad", "e2", "1", isolated=False)
-        self.assertEqual(Verdict.ALONE, suspects.verdict(1.0, b"bad"))
+        self.assertEqual(Verdict.ISOLATED, suspects.verdict(1.0, b"bad"))
         suspects.record(2.0, b"bad", "e3", "1", isolated=True)
         self.assertEqual(Verdict.REFUSED, suspects.verdict(2.0, b"bad"))
 
--- a/borageworks/routing/tests/test_demand.py
+++ b/borageworks/routing/tests/test_demand.py
@@ -26,7 +26,7 @@
         self.assertEqual(
             [("o1", Demand("p", "a", 1))], [(t.owner, t.demand) for t in sent]
         )
-        demand.granted("o1", "p", "a")
+        demand.record_grant("o1", "p", "a")
         demand.set_waiting(0.001, "p", "a", 0)
         self.assertEqual([], demand.flush(0.001))
         self.assertEqual([], demand.tick(1.0))
@@ -57,7 +57,7 @@
         demand = build_plan()
         demand.set_waiting(0.0, "p", "a", 5)
         demand.flush(0.0)
-        demand.forget_owner("o1")
+        demand.remove_owner("o1")
         self.assertEqual(["o1"], [t.owner for t in demand.flush(0.1)])
 
     @settings(derandomize=True, deadline=None, max_examples=200)
@@ -90,14 +90,14 @@
                     demand.set_waiting(now, "p", "a", waiting)
                 case "grant" if known.get(owner, 0) > 0:
                     known[owner] -= 1
-                    demand.granted(owner, "p", "a")
+                    demand.record_grant(owner, "p", "a")
                     waiting = max(0, waiting - 1)
                     demand.set_waiting(now, "p", "a", waiting)
                 case "tick":
                     deliver(demand.tick(now))
                 case "lose":
                     known.pop(owner, None)
-                    demand.forget_owner(owner)
+                    demand.remove_owner(owner)
             deliver(demand.flush(now))
         for _ in range(8):
             now += 1.0
