--- a/borageworks/endpoints/engine.py
+++ b/borageworks/endpoints/engine.py
@@ -108,7 +108,7 @@
         usage: dict[str, Any] | None = None
         decoder = StreamDecoder()
         async for data in response.content.iter_any():
-            progress.active_at = time.monotonic()
+            progress.last_received_at = time.monotonic()
             events = decoder.feed(data)
             if not events:
                 continue
@@ -130,10 +130,10 @@
                 await sink.finish()
                 return Exchange(
                     units=self._units(usage) or progress.units,
-                    first_token=first_content_at - started_at
+                    first_token_s=first_content_at - started_at
                     if first_content_at
                     else 0.0,
-                    token_interval=(last_content_at - first_content_at) / (tokens - 1)
+                    token_interval_s=(last_content_at - first_content_at) / (tokens - 1)
                     if tokens > 1
                     else 0.0,
                 )
--- a/borageworks/endpoints/exchange.py
+++ b/borageworks/endpoints/exchange.py
@@ -13,11 +13,11 @@
     ----------
     units
         Service units; `FairSettings` has their weights.
-    first_token, token_interval
+    first_token_s, token_interval_s
         Seconds until the first token and mean seconds between tokens; 0.0 if the
         response was not streamed.
     """
 
     units: float
-    first_token: float = 0.0
-    token_interval: float = 0.0
+    first_token_s: float = 0.0
+    token_interval_s: float = 0.0
--- a/borageworks/endpoints/failures.py
+++ b/borageworks/endpoints/http_errors.py
@@ -7,7 +7,7 @@
 
 import aiohttp
 
-from borageworks.endpoints.bounded import ResponseOverheadError
+from borageworks.endpoints.bounded_connector import ResponseOverheadError
 from borageworks.exceptions import (
     EndpointDisconnectedError,
     EndpointReplyIncompleteError,
@@ -18,7 +18,7 @@
 
 
 @contextmanager
-def typed_failures(endpoint: str) -> Iterator[None]:
+def convert_http_errors(endpoint: str) -> Iterator[None]:
     """Convert HTTP library errors raised in the block.
 
     Raises
--- a/borageworks/endpoints/plain.py
+++ b/borageworks/endpoints/plain.py
@@ -22,7 +22,7 @@
 REFUSED_STATUSES = frozenset((429, 503))
 
 
-class PlainClient:
+class PlainServiceClient:
     """Forwards requests unchanged; service units are seconds of processing time."""
 
     def __init__(self, transport: Transport) -> None:
@@ -48,8 +48,8 @@
             else:
                 await sink.start(response.status, headers)
                 async for chunk in response.content.iter_any():
-                    progress.active_at = time.monotonic()
-                    progress.units = progress.active_at - started_at
+                    progress.last_received_at = time.monotonic()
+                    progress.units = progress.last_received_at - started_at
                     await sink.write(chunk)
         await sink.finish()
         return Exchange(units=time.monotonic() - started_at)
--- a/borageworks/endpoints/progress.py
+++ b/borageworks/endpoints/progress.py
@@ -18,7 +18,7 @@
         offset.
     sent
         Whether the request may have reached an endpoint in any attempt.
-    active_at
+    last_received_at
         Monotonic time in seconds of the last bytes from the endpoint, or of the start
         of the attempt.
     """
@@ -26,4 +26,4 @@
     units: float = 0.0
     content_bytes: int = 0
     sent: bool = False
-    active_at: float = 0.0
+    last_received_at: float = 0.0
--- a/borageworks/endpoints/tests/test_clients.py
+++ b/borageworks/endpoints/tests/test_clients.py
@@ -10,7 +10,7 @@
 from borageworks.config.settings import FairSettings
 from borageworks.endpoints.call import Call
 from borageworks.endpoints.engine import EngineClient
-from borageworks.endpoints.plain import PlainClient
+from borageworks.endpoints.plain import PlainServiceClient
 from borageworks.endpoints.progress import Progress
 from borageworks.endpoints.transport import Transport
 from borageworks.exceptions import (
@@ -148,7 +148,7 @@
             client = (
                 EngineClient(transport, FairSettings())
                 if client_kind == "engine"
-                else PlainClient(transport)
+                else PlainServiceClient(transport)
             )
             try:
                 return await client.exchange(endpoint, call, sink, progress)
--- a/borageworks/endpoints/transport.py
+++ b/borageworks/endpoints/transport.py
@@ -9,9 +9,9 @@
 import aiohttp
 
 from borageworks.catalog.objects import Endpoint
-from borageworks.endpoints.bounded import BoundedConnector
+from borageworks.endpoints.bounded_connector import BoundedConnector
 from borageworks.endpoints.call import Call
-from borageworks.endpoints.failures import typed_failures
+from borageworks.endpoints.http_errors import convert_http_errors
 from borageworks.endpoints.progress import Progress
 from borageworks.endpoints.single_attempt import SingleAttempt
 from borageworks.exceptions import (
@@ -127,9 +127,9 @@
         )
         sent_before = progress.sent
         progress.sent = True
-        progress.active_at = time.monotonic()
+        progress.last_received_at = time.monotonic()
         try:
-            with typed_failures(endpoint.id):
+            with convert_http_errors(endpoint.id):
                 async with session.request(
                     call.method,
                     _url(endpoint, call.path),
--- a/borageworks/gateway/upstream.py
+++ b/borageworks/gateway/upstream.py
@@ -8,8 +8,8 @@
 import aiohttp
 import yarl
 
-from borageworks.endpoints.bounded import BoundedConnector
-from borageworks.endpoints.failures import typed_failures
+from borageworks.endpoints.bounded_connector import BoundedConnector
+from borageworks.endpoints.http_errors import convert_http_errors
 from borageworks.endpoints.single_attempt import SingleAttempt
 from borageworks.endpoints.sockets import open_socket
 from borageworks.exceptions import EndpointReplyIncompleteError
@@ -91,7 +91,7 @@
         session = self._unpooled if fresh else self._pooled
         assert session is not None
         url = yarl.URL(f"http://{endpoint.host}:{endpoint.port}{target}", encoded=True)
-        with typed_failures(endpoint.id):
+        with convert_http_errors(endpoint.id):
             async with session.request(
                 method,
                 url,
--- a/borageworks/router/entry.py
+++ b/borageworks/router/entry.py
@@ -285,8 +285,8 @@
         if held.alone:
             self._suspects.clear(fingerprint)
         self._metrics.count("answers")
-        if exchange.first_token:
-            self._metrics.observe("first_token", exchange.first_token)
+        if exchange.first_token_s:
+            self._metrics.observe("first_token", exchange.first_token_s)
 
     async def _exchange(
         self,
--- a/borageworks/router/router.py
+++ b/borageworks/router/router.py
@@ -19,7 +19,7 @@
 from borageworks.endpoints.call import Call
 from borageworks.endpoints.client import EndpointClient
 from borageworks.endpoints.engine import EngineClient
-from borageworks.endpoints.plain import PlainClient
+from borageworks.endpoints.plain import PlainServiceClient
 from borageworks.endpoints.transport import Transport
 from borageworks.events import Event, emit
 from borageworks.membership.gossip import Gossip
@@ -211,7 +211,7 @@
         settings = self._settings
         clients: dict[PoolKind, EndpointClient] = {
             PoolKind.ENGINE: EngineClient(self._transport, settings.fair),
-            PoolKind.PLAIN: PlainClient(self._transport),
+            PoolKind.PLAIN: PlainServiceClient(self._transport),
         }
         self._entry = Entry(
             settings, self._replica, self._timers, self._metrics, clients, self._send
--- a/borageworks/router/slots.py
+++ b/borageworks/router/slots.py
@@ -128,8 +128,8 @@
             grant.grant_id,
             outcome,
             units,
-            exchange.first_token,
-            exchange.token_interval,
+            exchange.first_token_s,
+            exchange.token_interval_s,
             fingerprint if outcome is Outcome.CRASHED else b"",
             keep,
         )
@@ -189,7 +189,7 @@
         for held in self._held.values():
             if held.grant.endpoint != message.endpoint or held.scope is None:
                 continue
-            if message.restarted or held.progress.active_at < silent_since:
+            if message.restarted or held.progress.last_received_at < silent_since:
                 self._metrics.count("attempts_ended", "endpoint_lost")
                 held.scope.reschedule(self._timers.now())
 
