--- a/borageworks_emulator/platform/tests/test_feed.py
+++ b/borageworks_emulator/platform/tests/test_feed.py
@@ -80,7 +80,7 @@
             readers = [one for one in fleet if one not in updated]
             for one in readers:
                 # The store turns these away, and nobody tells the others.
-                one.platform_store._base = "http://127.0.0.1:1"
+                one.platform_store._base_url = "http://127.0.0.1:1"
                 one.gateway._follower._peers = list
             await asyncio.sleep(0.1)
             await fleet[0].configure(without_route(2, "book"))
