--- a/borageworks/gateway/placer.py
+++ b/borageworks/gateway/placer.py
@@ -11,10 +11,10 @@
     EndpointUnavailableError,
     PlacementSilentError,
 )
-from borageworks.gateway.asked import Asked
 from borageworks.gateway.directory import Directory
 from borageworks.gateway.fleet import Fleet
 from borageworks.gateway.organisation_tally import OrganisationTally
+from borageworks.gateway.pending_placement import PendingPlacement
 from borageworks.gateway.placement_messages import (
     decode_work,
     encode_decision,
@@ -24,11 +24,11 @@
 from borageworks.metrics import Metrics
 from borageworks.placement.decisions import Decision, Placed, RefusalReason, Refused
 from borageworks.placement.dispatcher import Dispatcher
-from borageworks.placement.memory_news import MemoryNews
+from borageworks.placement.memory_news import CacheUpdate
 from borageworks.placement.outcome import WorkOutcome
-from borageworks.placement.reading_speed import ReadingSpeed
+from borageworks.placement.reading_speed import PrefillSpeed
 from borageworks.placement.settings import PlacementSettings
-from borageworks.placement.shards import HomeShards, Shard
+from borageworks.placement.shards import ServiceShards, Shard
 from borageworks.placement.work import Work, WorkKey
 from borageworks.timers import Subscription, Timers
 from borageworks.wire.messages import (
@@ -88,9 +88,9 @@
         self._metrics = metrics
         self._settings = settings
         self._dispatchers: dict[Shard, Dispatcher] = {}
-        self._home_shards: dict[str, HomeShards] = {}
+        self._service_shards: dict[str, ServiceShards] = {}
         self._owners: dict[Shard, str] = {}
-        self._requests: dict[int, Asked] = {}
+        self._requests: dict[int, PendingPlacement] = {}
         self._numbers = itertools.count(1)
         self._tick_timer: Subscription | None = None
         self._tallies: dict[Shard, OrganisationTally] = {}
@@ -118,16 +118,21 @@
         CapacityExceededError
             If no endpoint can respond in time.
         """
-        home_shards = self._home_shards.get(service)
-        shard = service, home_shards.find(work.prompt, request_id) if home_shards else 0
+        service_shards = self._service_shards.get(service)
+        shard = (
+            service,
+            service_shards.find(work.prompt, request_id) if service_shards else 0,
+        )
         if shard not in self._dispatchers:
             raise EndpointUnavailableError(
                 f"service {service!r} has no endpoints",
-                retry_after=self._settings.retry_least_s,
+                retry_after=self._settings.min_retry_after_s,
             )
         owner = self._owner(shard)
         loop = asyncio.get_running_loop()
-        entry = Asked(shard, work, owner, loop.create_future(), asyncio.Event())
+        entry = PendingPlacement(
+            shard, work, owner, loop.create_future(), asyncio.Event()
+        )
         self._requests[work.key[1]] = entry
         try:
             if owner != self._instance:
@@ -147,7 +152,7 @@
                 self._withdraw(entry)
             raise
 
-    def started(self, key: WorkKey) -> None:
+    def record_start(self, key: WorkKey) -> None:
         """Record that the response to a request has begun."""
         entry = self._requests.get(key[1])
         if entry is None or entry.started:
@@ -158,7 +163,7 @@
         else:
             self._fleet.send(entry.owner, WorkStarted(key[1]))
 
-    def ended(self, key: WorkKey, outcome: WorkOutcome) -> None:
+    def record_end(self, key: WorkKey, outcome: WorkOutcome) -> None:
         """Record the end of a placed request."""
         entry = self._requests.pop(key[1], None)
         if entry is None:
@@ -168,13 +173,13 @@
         else:
             self._fleet.send(entry.owner, WorkEnded(key[1], int(outcome)))
 
-    def apply_memory_update(
-        self, shard: Shard, endpoint: str, update: MemoryNews
+    def apply_cache_update(
+        self, shard: Shard, endpoint: str, update: CacheUpdate
     ) -> None:
         """Apply a change of the prompt parts that an engine has cached."""
         dispatcher = self._dispatchers.get(shard)
         if dispatcher is not None:
-            dispatcher.learn(endpoint, update)
+            dispatcher.apply_cache_update(endpoint, update)
 
     def update(self) -> None:
         """Apply the current deployment configuration, endpoints and instances."""
@@ -185,13 +190,15 @@
         wanted: set[Shard] = set()
         for name, profile in deployment.services.items():
             endpoints = self._directory.endpoints_of(name)
-            if not endpoints and name not in self._home_shards:
+            if not endpoints and name not in self._service_shards:
                 continue
-            home_shards = self._home_shards.get(name)
+            service_shards = self._service_shards.get(name)
             endpoint_ids = tuple(sorted(endpoint.id for endpoint in endpoints))
-            if home_shards is None or home_shards.endpoints != endpoint_ids:
-                home_shards = self._home_shards[name] = HomeShards(endpoint_ids)
-            for number in range(home_shards.count):
+            if service_shards is None or service_shards.endpoints != endpoint_ids:
+                service_shards = self._service_shards[name] = ServiceShards(
+                    endpoint_ids
+                )
+            for number in range(service_shards.count):
                 shard = name, number
                 wanted.add(shard)
                 dispatcher = self._dispatchers.get(shard)
@@ -209,7 +216,7 @@
                         [
                             endpoint
                             for endpoint in endpoints
-                            if home_shards.of_endpoint[endpoint.id] == number
+                            if service_shards.of_endpoint[endpoint.id] == number
                         ],
                     )
                 )
@@ -265,13 +272,14 @@
                 entry.acknowledged.set()
         self.review_owners()
 
-    async def _ask_owner(self, entry: Asked) -> Placed:
+    async def _ask_owner(self, entry: PendingPlacement) -> Placed:
         work = entry.work
         request = encode_work(entry.shard, work)
         if not self._fleet.send(entry.owner, request):
             raise PlacementSilentError(f"no link to {entry.owner}")
         ack_timeout_s = min(
-            max(ACK_TIMEOUT_RATIO * work.aim_s, MIN_ACK_TIMEOUT_S), MAX_ACK_TIMEOUT_S
+            max(ACK_TIMEOUT_RATIO * work.remaining_target_s, MIN_ACK_TIMEOUT_S),
+            MAX_ACK_TIMEOUT_S,
         )
         try:
             async with asyncio.timeout(ack_timeout_s):
@@ -284,14 +292,18 @@
                 raise PlacementSilentError(
                     f"no acknowledgement from {entry.owner}"
                 ) from error
-        decision_timeout_s = max(work.patience_s, work.aim_s, 0.0) + DECISION_MARGIN_S
+        decision_timeout_s = (
+            max(work.max_wait_s, work.remaining_target_s, 0.0) + DECISION_MARGIN_S
+        )
         try:
             async with asyncio.timeout(decision_timeout_s):
                 return await entry.future
         except TimeoutError as error:
             raise PlacementSilentError(f"no decision from {entry.owner}") from error
 
-    def _handle_silent_owner(self, entry: Asked, error: PlacementSilentError) -> None:
+    def _handle_silent_owner(
+        self, entry: PendingPlacement, error: PlacementSilentError
+    ) -> None:
         self._metrics.count("placements_alone")
         emit(
             Event.PLACED_ALONE,
@@ -312,14 +324,16 @@
         if dispatcher is None:
             self._deliver([Refused(work.key, RefusalReason.NO_ENDPOINT, 0.2)])
             return
-        dispatcher.set_share(1.0 if self.owns(shard) else 1.0 / self._fleet.count)
-        self._tally(shard).ask(work.organisation, work.units)
+        dispatcher.set_capacity_ratio(
+            1.0 if self.owns(shard) else 1.0 / self._fleet.count
+        )
+        self._tally(shard).record_requested(work.organisation, work.units)
         self._deliver(
             self._count_refusals(shard, dispatcher.submit(self._timers.now(), work))
         )
         self._ensure_ticking()
 
-    def _withdraw(self, entry: Asked) -> None:
+    def _withdraw(self, entry: PendingPlacement) -> None:
         key = entry.work.key
         if entry.owner != self._instance:
             self._fleet.send(entry.owner, PlaceWithdraw(key[1]))
@@ -348,17 +362,17 @@
                     request.number,
                     PlaceState.REFUSED,
                     reason=int(RefusalReason.NO_ENDPOINT),
-                    retry_after_s=self._settings.retry_least_s,
+                    retry_after_s=self._settings.min_retry_after_s,
                 ),
             )
             return
         work = decode_work(instance, request)
-        dispatcher.set_share(1.0)
-        self._tally(shard).ask(work.organisation, work.units)
+        dispatcher.set_capacity_ratio(1.0)
+        self._tally(shard).record_requested(work.organisation, work.units)
         decisions = self._count_refusals(
             shard, dispatcher.submit(self._timers.now(), work)
         )
-        self._deliver(decisions, dispatcher.speed)
+        self._deliver(decisions, dispatcher.prefill_speed)
         if all(decision.key != work.key for decision in decisions):
             self._fleet.send(instance, PlaceReply(request.number, PlaceState.WAITING))
             self._ensure_ticking()
@@ -386,7 +400,9 @@
             case PlaceState.PLACED:
                 dispatcher = self._dispatchers.get(entry.shard)
                 if dispatcher is not None and reply.seconds_per_token > 0.0:
-                    dispatcher.speed.adopt(reply.seconds_per_token, reply.start_s)
+                    dispatcher.prefill_speed.adopt(
+                        reply.seconds_per_token, reply.start_s
+                    )
                 self._resolve(
                     Placed(key, reply.endpoint, reply.unread_tokens, instance)
                 )
@@ -427,13 +443,15 @@
             entry.owner = owner
 
     def _deliver(
-        self, decisions: Iterable[Decision], speed: ReadingSpeed | None = None
+        self, decisions: Iterable[Decision], prefill_speed: PrefillSpeed | None = None
     ) -> None:
         for decision in decisions:
             if decision.key[0] == self._instance:
                 self._resolve(decision)
             else:
-                self._fleet.send(decision.key[0], encode_decision(decision, speed))
+                self._fleet.send(
+                    decision.key[0], encode_decision(decision, prefill_speed)
+                )
 
     def _tally(self, shard: Shard) -> OrganisationTally:
         tally = self._tallies.get(shard)
@@ -448,7 +466,7 @@
         for decision in decisions:
             if isinstance(decision, Refused) and decision.work is not None:
                 work = decision.work
-                self._tally(shard).refuse(work.organisation, work.units)
+                self._tally(shard).record_refused(work.organisation, work.units)
         return decisions
 
     def _resolve(self, decision: Decision) -> None:
