--- a/borageworks_emulator/soak/__init__.py
+++ b/borageworks_emulator/soak/__init__.py
@@ -1,1 +1,1 @@
-"""Randomised soak of gateway processes under faults from outside."""
+"""Randomised soak test of gateway processes under injected faults."""
--- a/borageworks_emulator/soak/balancer.py
+++ b/borageworks_emulator/soak/balancer.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's balancer in front of the gateways."""
+"""Emulates the platform's load balancer in front of the gateways."""
 
 from __future__ import annotations
 
@@ -11,38 +11,44 @@
 from borageworks.routing.rendezvous import rendezvous
 
 CHECK_INTERVAL_S = 1.0
-MISSES_UNTIL_OUT = 2
+FAILED_CHECKS_UNTIL_REMOVAL = 2
 
 
 class Balancer:
-    """Picks the gateway of a new connection among those that say they are ready.
+    """Picks the gateway of a new connection among those that report readiness.
 
     Parameters
     ----------
     status_urls
-        Address for readiness by gateway.
+        Base URL of the readiness check by gateway.
     rng
-        Draws the salt of the hash.
+        Source of the hash's salt.
     """
 
     def __init__(self, status_urls: Mapping[str, str], rng: random.Random) -> None:
         self._urls = status_urls
         self._salt = rng.random()
-        self._misses = dict.fromkeys(status_urls, MISSES_UNTIL_OUT)
+        self._failed_checks = dict.fromkeys(status_urls, FAILED_CHECKS_UNTIL_REMOVAL)
 
     def pick(self, address: str) -> str:
-        """Return a caller's gateway, by a hash of its address.
+        """Return a caller's gateway, chosen by a hash of its address.
 
-        It is one of those in rotation, or of all if none is. An address keeps its
-        gateway while that stays in rotation.
+        Only gateways in rotation are candidates, or all if none is. An address keeps
+        its gateway while that stays in rotation.
         """
-        ready = [name for name, count in self._misses.items() if not self._out(count)]
-        gateway = rendezvous(f"{self._salt}/{address}", ready or self._misses)
+        in_rotation = [
+            name
+            for name, count in self._failed_checks.items()
+            if not self._is_removed(count)
+        ]
+        gateway = rendezvous(
+            f"{self._salt}/{address}", in_rotation or self._failed_checks
+        )
         assert gateway is not None
         return gateway
 
     async def run(self) -> None:
-        """Check all gateways once a second until cancelled."""
+        """Check all gateways once per interval until cancelled."""
         timeout = aiohttp.ClientTimeout(total=CHECK_INTERVAL_S)
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while True:
@@ -57,8 +63,8 @@
                 ready = response.status == 200
         except (aiohttp.ClientError, TimeoutError, OSError):
             ready = False
-        self._misses[name] = 0 if ready else self._misses[name] + 1
+        self._failed_checks[name] = 0 if ready else self._failed_checks[name] + 1
 
     @staticmethod
-    def _out(misses: int) -> bool:
-        return misses >= MISSES_UNTIL_OUT
+    def _is_removed(failed_checks: int) -> bool:
+        return failed_checks >= FAILED_CHECKS_UNTIL_REMOVAL
--- a/borageworks_emulator/soak/call.py
+++ b/borageworks_emulator/soak/call.py
@@ -1,4 +1,4 @@
-"""One request as its caller saw it."""
+"""Record of one request as its caller saw it."""
 
 from __future__ import annotations
 
@@ -21,24 +21,24 @@
 
 @dataclass(slots=True)
 class Call:
-    """One request as its caller saw it.
+    """Record of one request as its caller saw it.
 
     Parameters
     ----------
     id
         Id of the request.
     route
-        Name of the route.
+        Name of its route.
     organisation
-        Organisation of the key, empty without a key.
+        Organisation of the API key, empty without a key.
     gateway
-        Instance that it was sent to.
+        Gateway that it was sent to.
     tokens
-        Prompt tokens.
+        Prompt tokens plus twice the generated tokens, 0 for plain requests.
     events
-        Number of events of the answer, 0 for plain answers.
+        Number of events of the response, 0 for plain responses.
     sent_at
-        Loop time.
+        Event loop time of sending.
     """
 
     id: str
@@ -49,7 +49,7 @@
     events: int
     sent_at: float
     ended_at: float | None = None
-    first_part_at: float | None = None
+    first_bytes_at: float | None = None
     ending: Ending | None = None
     status: int | None = None
     detail: str = ""
--- a/borageworks_emulator/soak/caller.py
+++ b/borageworks_emulator/soak/caller.py
@@ -1,4 +1,4 @@
-"""A caller that sends requests on connections that it keeps open."""
+"""Emulated caller that sends requests over persistent connections."""
 
 from __future__ import annotations
 
@@ -13,138 +13,146 @@
 from borageworks_emulator.platform.harness import HOST
 from borageworks_emulator.soak.balancer import Balancer
 from borageworks_emulator.soak.call import Call, Ending
-from borageworks_emulator.soak.endpoints import events_of
-from borageworks_emulator.soak.promises import PROMISED, Promises
-
-PATIENCE_S = 3.0
-CONNECT_S = 1.0
-# A caller opens a new connection after so many requests at most.
-REQUESTS_PER_CONNECTION = 30
-SHARED_PARTS = 6
-SHARED_TOKENS = 800
-OWN_TOKENS = (100, 400)
-GENERATED_TOKENS = (12, 60)
-# Part of the callers' requests that they leave before the answer is complete.
-LEAVING_RATIO = 0.05
+from borageworks_emulator.soak.endpoints import event_count
+from borageworks_emulator.soak.guarantee_checker import (
+    NOT_RUN_STATUSES,
+    GuaranteeChecker,
+)
+
+REQUEST_TIMEOUT_S = 3.0
+CONNECT_TIMEOUT_S = 1.0
+MAX_REQUESTS_PER_CONNECTION = 30
+SHARED_PART_COUNT = 6
+SHARED_PART_TOKENS = 800
+UNIQUE_PART_TOKENS_RANGE = (100, 400)
+GENERATED_TOKENS_RANGE = (12, 60)
+# Fraction of requests whose caller disconnects before the response is complete.
+DISCONNECT_RATIO = 0.05
 
 
 @dataclass(frozen=True, slots=True)
-class Habit:
-    """How a caller behaves.
+class CallerProfile:
+    """Behaviour of a caller.
 
     Parameters
     ----------
     organisation, key
         Its organisation and API key.
-    routes
+    route_weights
         Weight of each route that it uses.
-    pause_s
+    mean_pause_s
         Mean pause between two requests.
-    patient
-        Whether it waits as long as a refusal asks it to.
+    honours_retry_after
+        Whether it waits for the `Retry-After` of a refusal.
     """
 
     organisation: str
     key: str
-    routes: Mapping[str, float]
-    pause_s: float
-    patient: bool
+    route_weights: Mapping[str, float]
+    mean_pause_s: float
+    honours_retry_after: bool
 
 
 class Caller:
-    """A caller that sends requests on connections that it keeps open.
+    """Emulated caller that sends requests over persistent connections.
 
-    It goes on using a connection until that is closed, also when the balancer sends
-    new ones elsewhere.
+    It keeps using a connection even when the balancer sends new ones to another
+    gateway.
 
     Parameters
     ----------
     name
         Prefix of the ids of its requests.
     address
-        What the balancer picks its gateway by; callers may share one.
-    habit
-        How it behaves.
+        Address that the balancer hashes to pick a gateway; callers may share one.
+    profile
+        Its behaviour.
     urls
-        Address for callers by gateway.
-    balancer, promises, rng
-        Parts of the soak.
+        Base URL by gateway.
+    balancer, checker, rng
+        Components of the soak.
     """
 
     def __init__(
         self,
         name: str,
         address: str,
-        habit: Habit,
+        profile: CallerProfile,
         urls: Mapping[str, str],
         balancer: Balancer,
-        promises: Promises,
+        checker: GuaranteeChecker,
         rng: random.Random,
     ) -> None:
         self._name = name
         self._address = address
-        self._habit = habit
+        self._profile = profile
         self._urls = urls
         self._balancer = balancer
-        self._promises = promises
+        self._checker = checker
         self._rng = rng
-        self._number = 0
+        self._request_count = 0
 
     async def run(self) -> None:
         """Send requests until cancelled."""
         while True:
             gateway = self._balancer.pick(self._address)
             async with _session() as session:
-                for _ in range(self._rng.randint(1, REQUESTS_PER_CONNECTION)):
-                    leaves = self._rng.random() < LEAVING_RATIO
-                    call = await self._call(
-                        session, self._next_call(gateway, self._route()), leaves
+                for _ in range(self._rng.randint(1, MAX_REQUESTS_PER_CONNECTION)):
+                    disconnects = self._rng.random() < DISCONNECT_RATIO
+                    call = await self._send(
+                        session,
+                        self._next_call(gateway, self._pick_route()),
+                        disconnects,
                     )
-                    await asyncio.sleep(self._pause(call))
+                    await asyncio.sleep(self._pause_s(call))
                     if call.ending in (Ending.CUT, Ending.CLOSED, Ending.UNCONNECTED):
                         break
 
-    async def ask(self, gateway: str, route: str) -> Call:
-        """Send one request to a gateway, on a connection of its own."""
+    async def send_one(self, gateway: str, route: str) -> Call:
+        """Send one request to a gateway over a new connection."""
         async with _session() as session:
-            return await self._call(session, self._next_call(gateway, route), False)
-
-    def _route(self) -> str:
-        routes = self._habit.routes
-        return self._rng.choices(list(routes), list(routes.values()))[0]
-
-    def _pause(self, call: Call) -> float:
-        pause = self._rng.expovariate(1.0 / self._habit.pause_s)
-        if call.ending is Ending.REFUSED and self._habit.patient and call.detail:
-            return max(pause, float(call.detail))
-        return pause
-
-    async def _call(
+            return await self._send(session, self._next_call(gateway, route), False)
+
+    def _pick_route(self) -> str:
+        weights = self._profile.route_weights
+        return self._rng.choices(list(weights), list(weights.values()))[0]
+
+    def _pause_s(self, call: Call) -> float:
+        pause_s = self._rng.expovariate(1.0 / self._profile.mean_pause_s)
+        if (
+            call.ending is Ending.REFUSED
+            and self._profile.honours_retry_after
+            and call.detail
+        ):
+            return max(pause_s, float(call.detail))
+        return pause_s
+
+    async def _send(
         self,
         session: aiohttp.ClientSession,
         request: tuple[Call, dict[str, str]],
-        leaves: bool,
+        disconnects: bool,
     ) -> Call:
         call, headers = request
-        self._promises.sent(call)
+        self._checker.request_sent(call)
         connected = False
         loop = asyncio.get_running_loop()
-        part = bytearray()
+        received = bytearray()
         try:
             async with session.post(
                 self._urls[call.gateway] + call.target, data=call.body, headers=headers
             ) as response:
                 connected = True
                 call.status = response.status
-                if leaves:
+                if disconnects:
                     response.close()
                     call.ending = Ending.LEFT
                 else:
                     async for data, _ in response.content.iter_chunks():
-                        if call.first_part_at is None:
-                            call.first_part_at = loop.time()
-                        part += data
-                    self._take_answer(call, response, bytes(part))
+                        if call.first_bytes_at is None:
+                            call.first_bytes_at = loop.time()
+                        received += data
+                    self._take_response(call, response, bytes(received))
         except aiohttp.ClientConnectorError:
             call.ending = Ending.UNCONNECTED
         except TimeoutError:
@@ -153,15 +161,15 @@
             call.ending = Ending.CUT if connected else Ending.CLOSED
             call.detail = repr(error)
             if connected and call.status == 200:
-                self._promises.check_part(call, bytes(part))
+                self._checker.check_partial_response(call, bytes(received))
         call.ended_at = loop.time()
-        self._promises.ended(call)
+        self._checker.request_ended(call)
         return call
 
-    def _take_answer(
+    def _take_response(
         self, call: Call, response: aiohttp.ClientResponse, body: bytes
     ) -> None:
-        if response.status in PROMISED:
+        if response.status in NOT_RUN_STATUSES:
             call.ending = Ending.REFUSED
             call.detail = response.headers.get("Retry-After", "")
             return
@@ -169,45 +177,52 @@
         call.detail = str(response.status)
         if call.ending is Ending.ANSWERED:
             headers = response.headers
-            self._promises.check_answer(
+            self._checker.check_response(
                 call, headers.get(SEAL, ""), headers.get(REQUEST_ID, ""), body
             )
 
     def _next_call(self, gateway: str, route: str) -> tuple[Call, dict[str, str]]:
-        self._number += 1
-        habit, rng = self._habit, self._rng
+        self._request_count += 1
+        profile, rng = self._profile, self._rng
         stream = route in ("resume", "once")
-        own, generated = rng.randint(*OWN_TOKENS), rng.randint(*GENERATED_TOKENS)
-        shared = rng.randrange(SHARED_PARTS)
-        identity = f"{self._name}-{self._number}"
+        unique, generated = (
+            rng.randint(*UNIQUE_PART_TOKENS_RANGE),
+            rng.randint(*GENERATED_TOKENS_RANGE),
+        )
+        shared_part = rng.randrange(SHARED_PART_COUNT)
+        request_id = f"{self._name}-{self._request_count}"
         call = Call(
-            id=identity,
+            id=request_id,
             route=route,
-            organisation="" if route == "open" else habit.organisation,
+            organisation="" if route == "open" else profile.organisation,
             gateway=gateway,
-            tokens=SHARED_TOKENS + own + 2 * generated if stream else 0,
-            events=events_of(generated) if stream else 0,
+            tokens=SHARED_PART_TOKENS + unique + 2 * generated if stream else 0,
+            events=event_count(generated) if stream else 0,
             sent_at=asyncio.get_running_loop().time(),
         )
         headers = {
             "Host": HOST,
-            REQUEST_ID: identity,
-            "X-Borageworks-Deadline-Remaining": str(int(PATIENCE_S * 1000)),
+            REQUEST_ID: request_id,
+            "X-Borageworks-Deadline-Remaining": str(int(REQUEST_TIMEOUT_S * 1000)),
         }
         if route != "open":
-            headers["Authorization"] = f"Token {habit.key}"
+            headers["Authorization"] = f"Token {profile.key}"
         if stream:
             headers["X-Borageworks-Model"] = "m"
-            headers["X-Borageworks-Token-Count"] = f"{SHARED_TOKENS + own},{generated}"
+            headers["X-Borageworks-Token-Count"] = (
+                f"{SHARED_PART_TOKENS + unique},{generated}"
+            )
             headers["X-Borageworks-Prompt-Prefix"] = (
-                f"aa{shared:02x}:{SHARED_TOKENS},{abs(hash(identity)):x}:{own}"
+                f"aa{shared_part:02x}:{SHARED_PART_TOKENS},{abs(hash(request_id)):x}:{unique}"
             )
         return call, headers
 
 
 def _session() -> aiohttp.ClientSession:
-    """Return a session with one connection."""
+    """Return a session limited to one connection."""
     return aiohttp.ClientSession(
         connector=aiohttp.TCPConnector(limit=1),
-        timeout=aiohttp.ClientTimeout(total=PATIENCE_S, sock_connect=CONNECT_S),
+        timeout=aiohttp.ClientTimeout(
+            total=REQUEST_TIMEOUT_S, sock_connect=CONNECT_TIMEOUT_S
+        ),
     )
--- a/borageworks_emulator/soak/conditions.py
+++ b/borageworks_emulator/soak/conditions.py
@@ -1,4 +1,4 @@
-"""What a loopback proxy does to the connections that pass through it."""
+"""Network conditions that a loopback proxy applies to its connections."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Conditions:
-    """State of one path.
+    """Network conditions of one path.
 
     Parameters
     ----------
     delay_s
-        Seconds by which bytes are held up in each direction.
+        Delay of bytes in each direction.
     lose_sent
-        Whether bytes from the side that connected get lost.
+        Whether bytes from the connecting side are lost.
     lose_received
-        Whether bytes to the side that connected get lost.
+        Whether bytes to the connecting side are lost.
     """
 
     delay_s: float = 0.0
@@ -24,5 +24,5 @@
     lose_received: bool = False
 
 
-CLEAR = Conditions()
+UNIMPAIRED = Conditions()
 CUT = Conditions(lose_sent=True, lose_received=True)
--- a/borageworks_emulator/soak/disturbances.py
+++ b/borageworks_emulator/soak/disturbances.py
@@ -1,4 +1,4 @@
-"""Knows which participants were disturbed, and when."""
+"""Records which participants were disturbed, and when."""
 
 from __future__ import annotations
 
@@ -10,32 +10,35 @@
 
 
 class Disturbances:
-    """Spans in which participants were disturbed.
+    """Records the intervals in which participants were disturbed.
 
     Parameters
     ----------
     clock
-        Returns the time in seconds.
+        Returns the current time in seconds.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
-        self._spans: dict[str, list[tuple[float, float]]] = defaultdict(list)
-        self._open: dict[str, list[float]] = defaultdict(list)
+        self._intervals: dict[str, list[tuple[float, float]]] = defaultdict(list)
+        self._ongoing: dict[str, list[float]] = defaultdict(list)
 
     def begin(self, subject: str) -> None:
-        """Note the begin of a disturbance."""
-        self._open[subject].append(self._clock())
+        """Record the start of a disturbance."""
+        self._ongoing[subject].append(self._clock())
 
     def end(self, subject: str) -> None:
-        """Note the end of a disturbance of the subject."""
-        self._spans[subject].append((self._open[subject].pop(0), self._clock()))
-
-    def note(self, subject: str) -> None:
-        """Note a disturbance without length."""
-        self._spans[subject].append((self._clock(), self._clock()))
-
-    def calm(self, subject: str, since: float, until: float) -> bool:
-        """Return whether nothing disturbed the subject in a span."""
-        spans = [*self._spans[subject], *((at, math.inf) for at in self._open[subject])]
-        return all(end < since or begin > until for begin, end in spans)
+        """Record the end of the subject's earliest ongoing disturbance."""
+        self._intervals[subject].append((self._ongoing[subject].pop(0), self._clock()))
+
+    def record_instant(self, subject: str) -> None:
+        """Record a disturbance without duration."""
+        self._intervals[subject].append((self._clock(), self._clock()))
+
+    def undisturbed(self, subject: str, since: float, until: float) -> bool:
+        """Return whether nothing disturbed the subject in an interval."""
+        intervals = [
+            *self._intervals[subject],
+            *((at, math.inf) for at in self._ongoing[subject]),
+        ]
+        return all(end < since or start > until for start, end in intervals)
--- a/borageworks_emulator/soak/fairness.py
+++ b/borageworks_emulator/soak/fairness.py
@@ -1,76 +1,83 @@
-"""Checks that a flood of one organisation leaves the others their share."""
+"""Checks that other organisations get their share beside a flood of one."""
 
 from __future__ import annotations
 
 from collections import defaultdict
 from collections.abc import Callable, Iterable
 
-from borageworks_emulator.soak.bounds import FAIR_WINDOW_S
+from borageworks_emulator.soak.bounds import FAIRNESS_WINDOW_S
 from borageworks_emulator.soak.call import Call, Ending
 
-# Aim of the streams in the stand-in's configuration.
-AIM_S = 0.5
-LEAST_PART = 0.5
-# Requests of an organisation that may be missing besides.
-SPARE_REQUESTS = 3
+# Target latency of streams in the emulated platform's configuration.
+TARGET_LATENCY_S = 0.5
+MIN_SERVED_RATIO = 0.5
+# Number of an organisation's largest requests that may be missing in addition.
+TOLERATED_REQUESTS = 3
 
 
-def unfair_organisations(
+def underserved_organisations(
     calls: Iterable[Call],
     ran: Callable[[Call], bool],
     since: float,
     until: float,
 ) -> list[str]:
-    """Return what organisations got too little in some window.
+    """Describe each organisation that was underserved in some window.
 
-    An organisation that had to wait or was refused in each second of a window has to
-    get half of what it asked for, or of what the best served one got.
+    An organisation with a delayed or refused request in each second of a window must
+    be served `MIN_SERVED_RATIO` of the tokens that it requested, or of those of the
+    best-served organisation if these are fewer.
 
     Parameters
     ----------
     calls
-        Calls of all organisations.
+        Requests of all organisations.
     ran
-        Returns whether a call's request ran.
+        Returns whether a request ran.
     since, until
-        Loop times of the calm span that is looked at.
+        Event loop times of the checked interval, which is without faults.
     """
     streams = [call for call in calls if call.tokens and since <= call.sent_at < until]
-    found = []
-    for first in range(int(until - since) - FAIR_WINDOW_S + 1):
-        begin = since + first
+    findings = []
+    for offset in range(int(until - since) - FAIRNESS_WINDOW_S + 1):
+        start = since + offset
         window = [
-            call for call in streams if begin <= call.sent_at < begin + FAIR_WINDOW_S
+            call
+            for call in streams
+            if start <= call.sent_at < start + FAIRNESS_WINDOW_S
         ]
-        found.extend(_unfair(window, ran, begin))
-    return found
+        findings.extend(_underserved(window, ran, start))
+    return findings
 
 
-def _unfair(window: list[Call], ran: Callable[[Call], bool], begin: float) -> list[str]:
-    asked: dict[str, int] = defaultdict(int)
-    got: dict[str, int] = defaultdict(int)
-    largest: dict[str, int] = defaultdict(int)
-    held_up: dict[str, set[int]] = defaultdict(set)
+def _underserved(
+    window: list[Call], ran: Callable[[Call], bool], start: float
+) -> list[str]:
+    requested_tokens: dict[str, int] = defaultdict(int)
+    served_tokens: dict[str, int] = defaultdict(int)
+    largest_request_tokens: dict[str, int] = defaultdict(int)
+    affected_seconds: dict[str, set[int]] = defaultdict(set)
     for call in window:
         name = call.organisation
-        asked[name] += call.tokens
-        largest[name] = max(largest[name], call.tokens)
+        requested_tokens[name] += call.tokens
+        largest_request_tokens[name] = max(largest_request_tokens[name], call.tokens)
         if ran(call):
-            got[name] += call.tokens
-        if _held_up(call):
-            held_up[name].add(int(call.sent_at - begin))
-    best = max(got.values(), default=0)
+            served_tokens[name] += call.tokens
+        if _delayed_or_refused(call):
+            affected_seconds[name].add(int(call.sent_at - start))
+    best_served_tokens = max(served_tokens.values(), default=0)
     return [
-        f"{name} got {got[name]} tokens of {asked[name]}, the best served {best}"
-        for name in asked
-        if len(held_up[name]) == FAIR_WINDOW_S
-        and got[name]
-        < LEAST_PART * min(asked[name], best) - SPARE_REQUESTS * largest[name]
+        f"{name} was served {served_tokens[name]} of {requested_tokens[name]} "
+        f"requested tokens, the best-served organisation {best_served_tokens}"
+        for name in requested_tokens
+        if len(affected_seconds[name]) == FAIRNESS_WINDOW_S
+        and served_tokens[name]
+        < MIN_SERVED_RATIO * min(requested_tokens[name], best_served_tokens)
+        - TOLERATED_REQUESTS * largest_request_tokens[name]
     ]
 
 
-def _held_up(call: Call) -> bool:
+def _delayed_or_refused(call: Call) -> bool:
     if call.ending is Ending.REFUSED:
         return True
-    first = call.first_part_at
-    return first is None or first > call.sent_at + AIM_S
+    first = call.first_bytes_at
+    return first is None or first > call.sent_at + TARGET_LATENCY_S
--- a/borageworks_emulator/soak/faults.py
+++ b/borageworks_emulator/soak/faults.py
@@ -10,7 +10,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KillGateways:
-    """Processes are killed and started again."""
+    """Processes are killed and restarted."""
 
     gateways: tuple[str, ...]
     down_s: float
@@ -18,14 +18,14 @@
 
 @dataclass(frozen=True, slots=True)
 class StopGateways:
-    """Processes get SIGTERM and are started again when they have ended."""
+    """Processes receive SIGTERM and are restarted after they have exited."""
 
     gateways: tuple[str, ...]
 
 
 @dataclass(frozen=True, slots=True)
 class PauseGateways:
-    """Processes are suspended."""
+    """Processes are suspended with SIGSTOP."""
 
     gateways: tuple[str, ...]
     for_s: float
@@ -33,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReloadSettings:
-    """Settings are written again, with or without SIGHUP."""
+    """The settings file is rewritten, with or without SIGHUP."""
 
     gateway: str
     signal: bool
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StepClock:
-    """A process is killed and starts again with another time of day."""
+    """A process is killed and restarted with its wall clock stepped."""
 
     gateway: str
     step_s: float
@@ -67,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class HarmStore:
-    """The store misbehaves towards everyone."""
+    """The store misbehaves towards all clients."""
 
     fault: StoreFault
     for_s: float
@@ -75,12 +75,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ForgetHistory:
-    """The store discards its history."""
+    """The store compacts its history."""
 
 
 @dataclass(frozen=True, slots=True)
 class CrashEndpoint:
-    """An endpoint is gone without notice and comes back as a new one."""
+    """An endpoint crashes and returns as a new incarnation."""
 
     endpoint: int
     down_s: float
@@ -88,14 +88,14 @@
 
 @dataclass(frozen=True, slots=True)
 class DrainEndpoint:
-    """An endpoint leaves as planned and comes back as a new one."""
+    """An endpoint drains, leaves and returns as a new incarnation."""
 
     endpoint: int
 
 
 @dataclass(frozen=True, slots=True)
 class TroubleEndpoint:
-    """An endpoint treats requests badly; `trouble` names how."""
+    """An endpoint misbehaves; `trouble` is a key of `MISBEHAVIOURS`."""
 
     endpoint: int
     trouble: str
@@ -104,12 +104,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ChangeConfiguration:
-    """The operator writes a new version."""
+    """The operator writes a new configuration version."""
 
 
 @dataclass(frozen=True, slots=True)
 class RogueEntry:
-    """Another writer leaves bytes in the store that mean nothing."""
+    """Another writer puts malformed entries into the store."""
 
 
 Fault = (
--- a/borageworks_emulator/soak/gateway_process.py
+++ b/borageworks_emulator/soak/gateway_process.py
@@ -8,18 +8,18 @@
 from borageworks_emulator.platform.harness import settings_text
 from borageworks_emulator.ports import HOST, free_ports
 from borageworks_emulator.process import Program
-from borageworks_emulator.soak.stepped_clock import STEP_VARIABLE
+from borageworks_emulator.soak.stepped_clock import CLOCK_STEP_VARIABLE
 
 
 class GatewayProcess(Program):
-    """Starts the platform's program and controls the process by its id.
+    """Starts the gateway program and controls the process by its id.
 
     Parameters
     ----------
     name, domain
-        Instance and its failure domain.
+        Name of the instance and its failure domain.
     directory
-        Where its settings file and output go.
+        Directory of its settings file and output.
     """
 
     def __init__(self, name: str, domain: str, directory: Path) -> None:
@@ -35,21 +35,21 @@
 
     @property
     def url(self) -> str:
-        """Base address for callers."""
+        """Base URL for callers."""
         return f"http://{HOST}:{self.ports[0]}"
 
     @property
     def status_url(self) -> str:
-        """Base address for readiness and metrics."""
+        """Base URL for readiness and metrics."""
         return f"http://{HOST}:{self.ports[1]}"
 
     def write_settings(self, store: tuple[str, int]) -> None:
-        """Write the settings file."""
+        """Write the settings file atomically."""
         text = settings_text(store, self.ports, self.name, domain=self.domain)
-        written = self.settings_file.with_suffix(".new")
-        written.write_text(text)
-        os.replace(written, self.settings_file)
+        temporary = self.settings_file.with_suffix(".new")
+        temporary.write_text(text)
+        os.replace(temporary, self.settings_file)
 
     def step_clock(self, step_s: float) -> None:
-        """Let the clock of the next start differ by so many seconds."""
-        self.environment[STEP_VARIABLE] = str(step_s)
+        """Step the wall clock by `step_s` seconds from the next start on."""
+        self.environment[CLOCK_STEP_VARIABLE] = str(step_s)
--- a/borageworks_emulator/soak/promise.py
+++ b/borageworks_emulator/soak/guarantee.py
@@ -1,4 +1,4 @@
-"""Promises of the gateway that a soak checks."""
+"""Guarantees of the gateway that a soak checks, and violations of them."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from enum import Enum
 
 
-class Promise(Enum):
-    """Promises of the gateway that a soak checks."""
+class Guarantee(Enum):
+    """Guarantees of the gateway that a soak checks."""
 
     AT_MOST_ONCE = "a request that must not be repeated runs at most once"
     ATTEMPTS = "a request runs at most as often as its route allows"
@@ -26,13 +26,13 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BrokenPromise:
-    """A promise that was broken, with the time since the start of the soak."""
+class Violation:
+    """A violated guarantee, with the time since the start of the soak."""
 
-    promise: Promise
+    guarantee: Guarantee
     at_s: float
     detail: str
 
     def line(self) -> str:
-        """Return a line for operators."""
-        return f"{self.at_s:8.2f} s  {self.promise.name}: {self.detail}"
+        """Return a line of the report."""
+        return f"{self.at_s:8.2f} s  {self.guarantee.name}: {self.detail}"
--- a/borageworks_emulator/soak/network.py
+++ b/borageworks_emulator/soak/network.py
@@ -1,4 +1,4 @@
-"""Paths between named participants, each through a loopback proxy of its own."""
+"""Network paths between participants, each through its own loopback proxy."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class Network:
-    """Paths between named participants.
+    """Network paths between named participants.
 
-    A path leads from one participant to one port of another one, so that a path can be
-    harmed for one of them alone.
+    A path leads from one participant to one port of another, so that faults can affect
+    a single pair of participants.
     """
 
     def __init__(self) -> None:
@@ -27,7 +27,7 @@
         port: str,
         address: Callable[[], tuple[str, int]],
     ) -> tuple[str, int]:
-        """Open a path; return the address by which `source` reaches `target`."""
+        """Open a path and return the address at which `source` reaches `target`."""
         proxy = LoopbackProxy(address)
         await proxy.start()
         self._proxies[source, target, port] = proxy
@@ -41,25 +41,25 @@
     def set_conditions(
         self, sources: set[str], targets: set[str], conditions: Conditions
     ) -> None:
-        """Set the state of all paths that lead from one set to the other."""
+        """Set the conditions of all paths from one set to the other."""
         for proxy in self._between(sources, targets):
             proxy.conditions = conditions
 
     def reset(self, sources: set[str], targets: set[str]) -> None:
-        """Reset the connections of all paths that lead from one set to the other."""
+        """Reset the connections of all paths from one set to the other."""
         for proxy in self._between(sources, targets):
             proxy.reset()
 
     async def close_ports(self, target: str) -> None:
-        """Refuse connections to a participant, and reset those that are open."""
-        for (_, found, _), proxy in self._proxies.items():
-            if found == target:
+        """Refuse connections to a participant and reset open ones."""
+        for (_, path_target, _), proxy in self._proxies.items():
+            if path_target == target:
                 await proxy.stop()
 
     async def open_ports(self, target: str) -> None:
-        """Take connections to a participant again."""
-        for (_, found, _), proxy in self._proxies.items():
-            if found == target:
+        """Accept connections to a participant again."""
+        for (_, path_target, _), proxy in self._proxies.items():
+            if path_target == target:
                 await proxy.start()
 
     async def close(self) -> None:
--- a/borageworks_emulator/soak/operator.py
+++ b/borageworks_emulator/soak/operator.py
@@ -1,4 +1,4 @@
-"""The operator of a soak's deployment, and probes of what is in force."""
+"""Emulated operator, which writes configurations and probes their application."""
 
 from __future__ import annotations
 
@@ -13,21 +13,24 @@
 from borageworks_emulator.platform.engine import REQUEST_ID
 from borageworks_emulator.platform.harness import HOST, KEY, configuration
 from borageworks_emulator.platform.store import EmulatedPlatformStore
+from borageworks_emulator.soak.configuration_checker import (
+    MARKER_ROUTE_COUNT,
+    ConfigurationChecker,
+)
 from borageworks_emulator.soak.gateway_process import GatewayProcess
-from borageworks_emulator.soak.promises import PROBE_PREFIX
-from borageworks_emulator.soak.versions import MARKERS, Versions
+from borageworks_emulator.soak.guarantee_checker import PROBE_PREFIX
 
 PROBE_INTERVAL_S = 0.2
-PROBE_LIMIT_S = 2.0
+PROBE_TIMEOUT_S = 2.0
 
 
 class Operator:
-    """Writes configurations, each with a marker route, and probes for them.
+    """Writes configurations, each with a marker route, and probes gateways for these.
 
     Parameters
     ----------
-    store, versions, rng
-        Parts of the soak.
+    store, checker, rng
+        Components of the soak.
     keys
         API key by organisation.
     """
@@ -35,55 +38,58 @@
     def __init__(
         self,
         store: EmulatedPlatformStore,
-        versions: Versions,
+        checker: ConfigurationChecker,
         keys: Mapping[str, str],
         rng: random.Random,
     ) -> None:
         self._store = store
-        self._versions = versions
+        self._checker = checker
         self._keys = keys
         self._rng = rng
         self._version = 0
 
-    async def change(self) -> None:
-        """Write the next version."""
+    async def write_next_version(self) -> None:
+        """Write a configuration with a higher version."""
         self._version += self._rng.randint(1, 2)
         version = self._version
         loop = asyncio.get_running_loop()
-        self._versions.sending(version, loop.time())
-        await self._store.put("op/config", orjson.dumps(self._body(version)))
-        self._versions.accepted(version, loop.time())
+        self._checker.version_sent(version, loop.time())
+        await self._store.put("op/config", orjson.dumps(self._configuration(version)))
+        self._checker.version_accepted(version, loop.time())
 
-    def _body(self, version: int) -> dict[str, Any]:
+    def _configuration(self, version: int) -> dict[str, Any]:
         tenants = [
             {"name": name, "api_keys": [key]} for name, key in self._keys.items()
         ]
         tenants.append({"name": "operator", "api_keys": [KEY]})
-        body = configuration(version, tenants=tenants)
-        template = next(item for item in body["routes"] if item["name"] == "look")
-        marker = self._versions.marker(version)
-        body["routes"].append({**template, "name": marker, "prefix": f"/{marker}/"})
-        return body
+        document = configuration(version, tenants=tenants)
+        template = next(item for item in document["routes"] if item["name"] == "look")
+        marker = self._checker.marker_route(version)
+        document["routes"].append({**template, "name": marker, "prefix": f"/{marker}/"})
+        return document
 
     async def probe(self, gateway: GatewayProcess) -> None:
-        """Ask a gateway for marker routes until cancelled."""
-        timeout = aiohttp.ClientTimeout(total=PROBE_LIMIT_S)
+        """Request marker routes from a gateway until cancelled."""
+        timeout = aiohttp.ClientTimeout(total=PROBE_TIMEOUT_S)
         loop = asyncio.get_running_loop()
-        number = 0
+        probe_count = 0
         async with aiohttp.ClientSession(timeout=timeout) as session:
             while True:
                 await asyncio.sleep(PROBE_INTERVAL_S)
-                number += 1
-                marker = self._versions.marker(self._rng.randrange(MARKERS))
+                probe_count += 1
+                marker = self._checker.marker_route(
+                    self._rng.randrange(MARKER_ROUTE_COUNT)
+                )
                 incarnation, sent_at = gateway.starts, loop.time()
-                identity = f"{PROBE_PREFIX}{gateway.name}-{incarnation}-{number}"
+                request_id = f"{PROBE_PREFIX}{gateway.name}-{incarnation}-{probe_count}"
                 headers = {
                     "Host": HOST,
                     "Authorization": f"Token {KEY}",
-                    REQUEST_ID: identity,
+                    REQUEST_ID: request_id,
                 }
                 try:
-                    # Without a service's answer, the status tells only the route.
+                    # Only 200 and 404 show whether the route exists: without a
+                    # response of the service, other statuses do not.
                     async with session.get(
                         f"{gateway.url}/{marker}/", headers=headers
                     ) as response:
@@ -91,7 +97,7 @@
                 except (aiohttp.ClientError, TimeoutError, OSError):
                     continue
                 if status in (200, 404) and incarnation == gateway.starts:
-                    self._versions.observe(
+                    self._checker.observe(
                         gateway.name,
                         incarnation,
                         marker,
--- a/borageworks_emulator/soak/proxy.py
+++ b/borageworks_emulator/soak/proxy.py
@@ -1,4 +1,4 @@
-"""Loopback proxy that harms the connections that pass through it."""
+"""Loopback proxy that impairs the connections that it forwards."""
 
 from __future__ import annotations
 
@@ -8,36 +8,36 @@
 from collections.abc import Callable
 
 from borageworks_emulator.ports import HOST
-from borageworks_emulator.soak.conditions import CLEAR, Conditions
+from borageworks_emulator.soak.conditions import UNIMPAIRED, Conditions
 
 CHUNK_BYTES = 65_536
-# Interval at which bytes that a cut holds up look whether it is over.
-HOLD_POLL_S = 0.02
-# Closing with this option discards what was not sent and resets the connection.
-RESET_ON_CLOSE = struct.pack("ii", 1, 0)
+CUT_POLL_INTERVAL_S = 0.02
+# With this SO_LINGER value, closing discards unsent bytes and resets the connection.
+RESET_LINGER = struct.pack("ii", 1, 0)
 
 
 class LoopbackProxy:
-    """Forwards connections to one address under changing conditions.
+    """Forwards connections to one address under configurable network conditions.
 
-    Bytes that a cut swallows are gone: the connection stays silent for good, as after a
-    loss of state on the way, and new connections are silent while the cut lasts.
+    Bytes sent during a cut are lost, and the connection forwards nothing more in that
+    direction, as if a device on the path had lost its state. Connections opened during
+    a cut wait for its end.
 
     Parameters
     ----------
     target
-        Returns host and port to forward to, asked for each connection.
+        Returns host and port to forward to, called for each connection.
     """
 
     def __init__(self, target: Callable[[], tuple[str, int]]) -> None:
         self._target = target
         self._server: asyncio.Server | None = None
         self._connections: set[_Connection] = set()
-        self.conditions = CLEAR
+        self.conditions = UNIMPAIRED
         self.address = (HOST, 0)
 
     async def start(self) -> None:
-        """Listen on a free port, or on the one that it had."""
+        """Listen on a free port, or on the previous one after a stop."""
         self._server = await asyncio.start_server(self._accept, *self.address)
         self.address = self._server.sockets[0].getsockname()[:2]
 
@@ -79,7 +79,7 @@
         """Forward both directions until one side closes."""
         try:
             while self._conditions().lose_received:  # noqa: ASYNC110
-                await asyncio.sleep(HOLD_POLL_S)
+                await asyncio.sleep(CUT_POLL_INTERVAL_S)
             reader, writer = await asyncio.open_connection(*target)
         except OSError:
             self.reset()
@@ -94,18 +94,18 @@
         done, _ = await asyncio.wait(self._tasks, return_when=asyncio.FIRST_EXCEPTION)
         if any(task.cancelled() or task.exception() for task in done):
             self.reset()
-        for opened in self._writers:
-            opened.close()
+        for open_writer in self._writers:
+            open_writer.close()
 
     def reset(self) -> None:
         """Reset both sides."""
         for task in self._tasks:
             task.cancel()
         for writer in self._writers:
-            connection = writer.get_extra_info("socket")
-            if connection is not None and connection.fileno() >= 0:
-                connection.setsockopt(
-                    socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE
+            writer_socket = writer.get_extra_info("socket")
+            if writer_socket is not None and writer_socket.fileno() >= 0:
+                writer_socket.setsockopt(
+                    socket.SOL_SOCKET, socket.SO_LINGER, RESET_LINGER
                 )
             writer.transport.abort()
 
@@ -116,23 +116,23 @@
         *,
         sent: bool,
     ) -> None:
-        swallowed = False
+        discarding = False
         while data := await reader.read(CHUNK_BYTES):
             conditions = self._conditions()
             if conditions.delay_s:
                 await asyncio.sleep(conditions.delay_s)
-            swallowed |= conditions.lose_sent if sent else conditions.lose_received
-            if swallowed:
+            discarding |= conditions.lose_sent if sent else conditions.lose_received
+            if discarding:
                 continue
             writer.write(data)
             await writer.drain()
-        while swallowed or self._loses(sent=sent):
-            # The end of a connection does not pass a cut either.
-            await asyncio.sleep(HOLD_POLL_S)
-            if swallowed and not self._loses(sent=sent):
+        while discarding or self._loses_bytes(sent=sent):
+            # A cut also blocks the end of the stream.
+            await asyncio.sleep(CUT_POLL_INTERVAL_S)
+            if discarding and not self._loses_bytes(sent=sent):
                 raise ConnectionResetError
         writer.write_eof()
 
-    def _loses(self, *, sent: bool) -> bool:
+    def _loses_bytes(self, *, sent: bool) -> bool:
         conditions = self._conditions()
         return conditions.lose_sent if sent else conditions.lose_received
--- a/borageworks_emulator/soak/regressions.py
+++ b/borageworks_emulator/soak/regressions.py
@@ -1,4 +1,4 @@
-"""Soaks that failed once, with the cause of each."""
+"""Soaks that failed in the past, with their causes."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Regression:
-    """A soak that failed once.
+    """A soak that failed in the past.
 
     Parameters
     ----------
     seed, minutes, gateways
         Options of the soak.
     cause
-        What was wrong, and which test shows it without the soak.
+        Cause of the failure, and the test that reproduces it without a soak.
     """
 
     seed: int
@@ -24,12 +24,12 @@
 
 
 _REFUSED_AFTER_RUN = (
-    "503 after an attempt that had run, since the second endpoint refused; "
+    "503 after an attempt that had run, because the second endpoint refused; "
     "test_refusal_after_a_broken_attempt_promises_nothing"
 )
 _SIGHUP_AT_START = (
-    "SIGHUP ended a process that was still starting; "
-    "test_announced_settings_do_not_end_a_process_that_starts"
+    "SIGHUP terminated a process that was still starting; "
+    "test_sighup_during_start_does_not_terminate_the_process"
 )
 REGRESSIONS = (
     Regression(
@@ -42,8 +42,8 @@
         seed=201,
         minutes=0.4,
         gateways=5,
-        cause="the soak itself: recovery counted on callers that happened not to ask "
-        "one route at one gateway; it now asks each itself",
+        cause="fault of the soak: the recovery check relied on callers, none of which "
+        "used one route at one gateway; it now sends a request to each itself",
     ),
     Regression(seed=203, minutes=0.4, gateways=5, cause=_REFUSED_AFTER_RUN),
     Regression(seed=107, minutes=0.4, gateways=5, cause=_REFUSED_AFTER_RUN),
@@ -51,8 +51,8 @@
         seed=105,
         minutes=0.4,
         gateways=5,
-        cause="tracebacks of a store call that was given up; "
-        "test_failure_of_a_watch_that_is_given_up_is_no_stray_error",
+        cause="tracebacks of a cancelled store call; "
+        "test_error_of_a_cancelled_watch_call_is_retrieved",
     ),
     Regression(seed=300, minutes=0.4, gateways=5, cause=_SIGHUP_AT_START),
     Regression(seed=311, minutes=0.4, gateways=5, cause=_SIGHUP_AT_START),
--- a/borageworks_emulator/soak/report.py
+++ b/borageworks_emulator/soak/report.py
@@ -1,4 +1,4 @@
-"""What a soak found."""
+"""Results of a soak."""
 
 from __future__ import annotations
 
@@ -7,42 +7,42 @@
 from typing import Any
 
 from borageworks_emulator.soak.call import Call
-from borageworks_emulator.soak.plan import PlannedFault
-from borageworks_emulator.soak.promise import BrokenPromise
+from borageworks_emulator.soak.fault_planner import PlannedFault
+from borageworks_emulator.soak.guarantee import Violation
 from borageworks_emulator.soak.settings import SoakSettings
 
 
 @dataclass(frozen=True, slots=True)
 class SoakReport:
-    """What a soak found.
+    """Results of a soak.
 
     Parameters
     ----------
     settings
-        What was run.
+        Settings of the soak.
     plan
         Faults that were injected.
     calls
         Requests of all callers.
     recovery_s
-        Seconds from the last fault until all was served, None if it was not.
-    broken
-        Promises that were broken.
+        Seconds from the last fault until all routes were served, None if they were not.
+    violations
+        Violations of guarantees.
     """
 
     settings: SoakSettings
     plan: list[PlannedFault]
     calls: list[Call]
     recovery_s: float | None
-    broken: list[BrokenPromise]
+    violations: list[Violation]
 
     @property
     def passed(self) -> bool:
-        """Whether no promise was broken."""
-        return not self.broken
+        """Whether all guarantees were met."""
+        return not self.violations
 
     def lines(self) -> list[str]:
-        """Return the report for operators."""
+        """Return the report as lines of text."""
         endings = Counter(call.ending for call in self.calls)
         counts = ", ".join(
             f"{count} {ending.value if ending else 'open'}"
@@ -52,17 +52,17 @@
         return [
             f"seed {self.settings.seed}: {len(self.plan)} faults in "
             f"{self.settings.duration_s:g} s, {len(self.calls)} requests ({counts}), "
-            f"recovery {recovery}, {len(self.broken)} broken promises",
-            *(broken.line() for broken in self.broken),
+            f"recovery {recovery}, {len(self.violations)} broken promises",
+            *(violation.line() for violation in self.violations),
         ]
 
     def document(self) -> dict[str, Any]:
-        """Return the report as JSON types, with the plan that led to it."""
+        """Return the report as JSON types, including the plan."""
         return {
             "seed": self.settings.seed,
             "duration_s": self.settings.duration_s,
             "gateways": self.settings.gateways,
             "recovery_s": self.recovery_s,
-            "broken": [broken.line() for broken in self.broken],
+            "broken": [violation.line() for violation in self.violations],
             "plan": [f"{item.at_s:.2f} {item.fault}" for item in self.plan],
         }
--- a/borageworks_emulator/soak/settings.py
+++ b/borageworks_emulator/soak/settings.py
@@ -13,19 +13,19 @@
     Parameters
     ----------
     seed
-        Decides series of faults, callers and requests.
+        Seed of all random draws: faults, callers and requests.
     duration_s
-        Seconds in which faults happen; two calm phases follow.
+        Duration of the phase with faults; recovery and a flood follow.
     directory
-        Where settings files and output of the gateways go.
+        Directory of the gateways' settings files and output.
     gateways, engines, desks
-        Number of processes, and of endpoints of the two services.
-    organisations, callers
+        Number of gateway processes, model engines, and endpoints of the plain service.
+    organisations, callers_per_organisation
         Number of organisations, and of callers of each.
-    flooding
-        Number of callers by which one organisation floods the engines at the end.
-    calm_s
-        Length of the flood, which has to exceed the window of the fairness check.
+    flood_callers
+        Number of additional callers with which one organisation floods the engines.
+    flood_duration_s
+        Duration of the flood, which must exceed the window of the fairness check.
     """
 
     seed: int
@@ -35,6 +35,6 @@
     engines: int = 3
     desks: int = 2
     organisations: int = 5
-    callers: int = 4
-    flooding: int = 24
-    calm_s: float = 8.0
+    callers_per_organisation: int = 4
+    flood_callers: int = 24
+    flood_duration_s: float = 8.0
--- a/borageworks_emulator/soak/soak.py
+++ b/borageworks_emulator/soak/soak.py
@@ -1,4 +1,4 @@
-"""Runs gateway processes under series of faults and checks their promises."""
+"""Runs gateway processes under injected faults and checks their guarantees."""
 
 from __future__ import annotations
 
@@ -15,44 +15,44 @@
 from borageworks_emulator.platform.store import EmulatedPlatformStore
 from borageworks_emulator.ports import HOST
 from borageworks_emulator.soak.balancer import Balancer
-from borageworks_emulator.soak.bounds import RECOVERY_S
+from borageworks_emulator.soak.bounds import MAX_RECOVERY_S
 from borageworks_emulator.soak.call import Call, Ending
-from borageworks_emulator.soak.caller import Caller, Habit
+from borageworks_emulator.soak.caller import Caller, CallerProfile
+from borageworks_emulator.soak.configuration_checker import ConfigurationChecker
 from borageworks_emulator.soak.disturbances import STORE, Disturbances
 from borageworks_emulator.soak.endpoints import SoakEndpoint
-from borageworks_emulator.soak.fairness import unfair_organisations
+from borageworks_emulator.soak.fairness import underserved_organisations
+from borageworks_emulator.soak.fault_planner import FaultPlanner, PlannedFault
 from borageworks_emulator.soak.gateway_process import GatewayProcess
+from borageworks_emulator.soak.guarantee import Guarantee
+from borageworks_emulator.soak.guarantee_checker import GuaranteeChecker
 from borageworks_emulator.soak.injector import Injector
 from borageworks_emulator.soak.network import Network
 from borageworks_emulator.soak.operator import Operator
-from borageworks_emulator.soak.plan import Plan, PlannedFault
-from borageworks_emulator.soak.promise import Promise
-from borageworks_emulator.soak.promises import Promises
 from borageworks_emulator.soak.report import SoakReport
 from borageworks_emulator.soak.settings import SoakSettings
-from borageworks_emulator.soak.versions import Versions
 
 DOMAINS = ("zone-a", "zone-b", "zone-c")
 PEER = "peer"
 RELAY = "relay"
 SERVICE = "service"
-START_LIMIT_S = 60.0
-POLL_S = 0.1
-ROUTES = {"resume": 5.0, "once": 2.0, "book": 2.0, "look": 1.0, "open": 1.0}
-PAUSE_S = 0.25
-FLOOD_PAUSE_S = 0.1
+START_TIMEOUT_S = 60.0
+POLL_INTERVAL_S = 0.1
+ROUTE_WEIGHTS = {"resume": 5.0, "once": 2.0, "book": 2.0, "look": 1.0, "open": 1.0}
+MEAN_PAUSE_S = 0.25
+FLOOD_MEAN_PAUSE_S = 0.1
 FLOOD_ADDRESS = "flood"
-# Time that the gateways need to learn of the last changes before the flood begins.
-SETTLE_S = 1.0
+# Time in which the gateways receive the last changes before the flood starts.
+SETTLE_TIME_S = 1.0
 
 
 class Soak:
-    """One soak: processes, paths, endpoints, callers and faults.
+    """One run of gateways, network paths, endpoints, callers and faults.
 
     Parameters
     ----------
     settings
-        What is run.
+        Settings of the run.
     """
 
     def __init__(self, settings: SoakSettings) -> None:
@@ -60,7 +60,7 @@
         self._rng = random.Random(settings.seed)
         self._clock: Callable[[], float] = asyncio.get_running_loop().time
         self._disturbances = Disturbances(self._clock)
-        self._promises = Promises(self._disturbances, self._clock)
+        self._checker = GuaranteeChecker(self._disturbances, self._clock)
         self._store = EmulatedPlatformStore()
         self._network = Network()
         self._gateways = {
@@ -75,9 +75,14 @@
         ]
         self._paths = [endpoint.name for endpoint in self._endpoints]
         self._keys = {f"org-{i}": f"secret-{i}" for i in range(settings.organisations)}
-        self._versions = Versions(self._disturbances, self._promises.report)
+        self._configuration_checker = ConfigurationChecker(
+            self._disturbances, self._checker.report
+        )
         self._operator = Operator(
-            self._store, self._versions, self._keys, random.Random(self._rng.random())
+            self._store,
+            self._configuration_checker,
+            self._keys,
+            random.Random(self._rng.random()),
         )
         self._balancer = Balancer(
             {name: gateway.status_url for name, gateway in self._gateways.items()},
@@ -91,39 +96,39 @@
             self._network,
             self._operator,
             self._disturbances,
-            self._promises,
+            self._checker,
             self._register,
         )
         self._tasks: list[asyncio.Task[None]] = []
 
     def _endpoint(self, name: str, service: str) -> SoakEndpoint:
-        return SoakEndpoint(name, service, service == ENGINES, self._promises)
+        return SoakEndpoint(name, service, service == ENGINES, self._checker)
 
     def plan(self) -> list[PlannedFault]:
-        """Return the faults of the settings' seed."""
+        """Return the faults drawn from the seed."""
         settings = self._settings
         domains = {name: gateway.domain for name, gateway in self._gateways.items()}
         rng = random.Random(settings.seed)
-        return Plan(rng, domains, self._paths).draw(settings.duration_s)
+        return FaultPlanner(rng, domains, self._paths).draw(settings.duration_s)
 
     async def run(self) -> SoakReport:
-        """Run the soak; every process that it started has ended afterwards."""
+        """Run the soak and end every process that it started."""
         plan = self.plan()
         async with AsyncExitStack() as stack:
-            stack.push_async_callback(self._end)
+            stack.push_async_callback(self._shut_down)
             await self._start()
             self._start_callers()
             await self._injector.run(plan)
             recovery_s = await self._recover()
-            await asyncio.sleep(SETTLE_S)
+            await asyncio.sleep(SETTLE_TIME_S)
             await self._flood()
         self._check_logs()
         return SoakReport(
             self._settings,
             plan,
-            self._promises.calls,
+            self._checker.calls,
             recovery_s,
-            self._promises.broken,
+            self._checker.violations,
         )
 
     async def _start(self) -> None:
@@ -134,30 +139,30 @@
             await self._open_paths(name, gateway)
         for endpoint in self._endpoints:
             await self._register(endpoint)
-        await self._operator.change()
+        await self._operator.write_next_version()
         for gateway in self._gateways.values():
             await gateway.start()
-        async with asyncio.timeout(START_LIMIT_S), aiohttp.ClientSession() as session:
+        async with asyncio.timeout(START_TIMEOUT_S), aiohttp.ClientSession() as session:
             for gateway in self._gateways.values():
                 while not await _ready(session, gateway):  # noqa: ASYNC110
-                    await asyncio.sleep(POLL_S)
+                    await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _open_paths(self, name: str, gateway: GatewayProcess) -> None:
         view = await self._store.open_view(
-            lambda key, value: self._translate(name, key, value)
+            lambda key, value: self._replace_addresses(name, key, value)
         )
         address = await self._network.open(name, STORE, STORE, lambda: view)
         gateway.write_settings(address)
         for other, process in self._gateways.items():
             if other != name:
                 _, _, relay, peer = process.ports
-                await self._network.open(name, other, PEER, _fixed(peer))
-                await self._network.open(name, other, RELAY, _fixed(relay))
+                await self._network.open(name, other, PEER, _loopback_address(peer))
+                await self._network.open(name, other, RELAY, _loopback_address(relay))
         for path, endpoint in zip(self._paths, self._endpoints, strict=True):
-            await self._network.open(name, path, SERVICE, _address_of(endpoint))
+            await self._network.open(name, path, SERVICE, _endpoint_address(endpoint))
 
-    def _translate(self, reader: str, key: str, value: bytes) -> bytes:
-        """Replace addresses in a value of the store by the reader's paths to them."""
+    def _replace_addresses(self, reader: str, key: str, value: bytes) -> bytes:
+        """Replace addresses in a value of the store by those of the reader's paths."""
         kind, _, name = key.rpartition("/")
         path = name.split(".")[0]
         service = self._network.address(reader, path, SERVICE)
@@ -181,79 +186,89 @@
 
     def _start_callers(self) -> None:
         self._spawn(self._balancer.run())
-        self._spawn(self._injector.watch_ends())
+        self._spawn(self._injector.watch_exits())
         for gateway in self._gateways.values():
             self._spawn(self._operator.probe(gateway))
         for organisation, key in self._keys.items():
-            for number in range(self._settings.callers):
-                habit = Habit(organisation, key, ROUTES, PAUSE_S, number % 2 == 0)
-                self._spawn(self._caller(f"{organisation}-{number}", habit).run())
+            for number in range(self._settings.callers_per_organisation):
+                profile = CallerProfile(
+                    organisation, key, ROUTE_WEIGHTS, MEAN_PAUSE_S, number % 2 == 0
+                )
+                self._spawn(self._caller(f"{organisation}-{number}", profile).run())
 
-    def _caller(self, name: str, habit: Habit, address: str | None = None) -> Caller:
+    def _caller(
+        self, name: str, profile: CallerProfile, address: str | None = None
+    ) -> Caller:
         return Caller(
             name,
             address or name,
-            habit,
+            profile,
             {name: gateway.url for name, gateway in self._gateways.items()},
             self._balancer,
-            self._promises,
+            self._checker,
             random.Random(self._rng.random()),
         )
 
     async def _recover(self) -> float | None:
-        """Return the seconds until all gateways serve all routes again."""
+        """Return the seconds until all gateways serve all routes, None if too many."""
         loop = asyncio.get_running_loop()
-        ended_at = loop.time()
-        habit = Habit(*next(iter(self._keys.items())), ROUTES, PAUSE_S, patient=False)
-        caller = self._caller("recovery", habit)
-        missing = [(name, route) for name in self._gateways for route in ROUTES]
-        while missing and loop.time() < ended_at + RECOVERY_S:
-            calls = await asyncio.gather(*(caller.ask(*pair) for pair in missing))
-            missing = [
+        faults_ended_at = loop.time()
+        profile = CallerProfile(
+            *next(iter(self._keys.items())),
+            ROUTE_WEIGHTS,
+            MEAN_PAUSE_S,
+            honours_retry_after=False,
+        )
+        caller = self._caller("recovery", profile)
+        unserved = [(name, route) for name in self._gateways for route in ROUTE_WEIGHTS]
+        while unserved and loop.time() < faults_ended_at + MAX_RECOVERY_S:
+            calls = await asyncio.gather(*(caller.send_one(*pair) for pair in unserved))
+            unserved = [
                 (call.gateway, call.route)
                 for call in calls
                 if call.ending is not Ending.ANSWERED
             ]
-            await asyncio.sleep(POLL_S)
-        if missing:
-            self._promises.report(
-                Promise.RECOVERY, f"not served for {RECOVERY_S} s: {sorted(missing)}"
+            await asyncio.sleep(POLL_INTERVAL_S)
+        if unserved:
+            self._checker.report(
+                Guarantee.RECOVERY,
+                f"not served after {MAX_RECOVERY_S} s: {sorted(unserved)}",
             )
             return None
-        return loop.time() - ended_at
+        return loop.time() - faults_ended_at
 
     async def _flood(self) -> None:
-        """Let one organisation flood the engines, and check what the others get.
+        """Let one organisation flood the engines and check what others are served.
 
-        All its callers are behind one address, so that they reach one gateway.
+        All its callers share one address, so that they reach the same gateway.
         """
         organisation, key = next(iter(self._keys.items()))
         since = self._clock()
-        for number in range(self._settings.flooding):
-            habit = Habit(
-                organisation, key, {"resume": 1.0}, FLOOD_PAUSE_S, number % 2 == 0
+        for number in range(self._settings.flood_callers):
+            profile = CallerProfile(
+                organisation, key, {"resume": 1.0}, FLOOD_MEAN_PAUSE_S, number % 2 == 0
             )
-            caller = self._caller(f"flood-{number}", habit, FLOOD_ADDRESS)
+            caller = self._caller(f"flood-{number}", profile, FLOOD_ADDRESS)
             self._spawn(caller.run())
-        await asyncio.sleep(self._settings.calm_s)
-        unfair = unfair_organisations(
-            self._promises.calls, self._ran, since, self._clock()
+        await asyncio.sleep(self._settings.flood_duration_s)
+        underserved = underserved_organisations(
+            self._checker.calls, self._has_run, since, self._clock()
         )
-        for line in unfair:
-            self._promises.report(Promise.FAIRNESS, line)
+        for line in underserved:
+            self._checker.report(Guarantee.FAIRNESS, line)
 
-    def _ran(self, call: Call) -> bool:
-        return self._promises.runs(call) > 0
+    def _has_run(self, call: Call) -> bool:
+        return self._checker.run_count(call) > 0
 
     def _check_logs(self) -> None:
         for name, gateway in self._gateways.items():
             for line in gateway.internal_errors():
-                self._promises.report(Promise.NO_INTERNAL_ERROR, f"{name}: {line}")
+                self._checker.report(Guarantee.NO_INTERNAL_ERROR, f"{name}: {line}")
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        self._tasks.append(asyncio.create_task(work))
+    def _spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
+        self._tasks.append(asyncio.create_task(coroutine))
 
-    async def _end(self) -> None:
+    async def _shut_down(self) -> None:
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -264,11 +279,11 @@
         await self._store.stop()
 
 
-def _fixed(port: int) -> Callable[[], tuple[str, int]]:
+def _loopback_address(port: int) -> Callable[[], tuple[str, int]]:
     return lambda: (HOST, port)
 
 
-def _address_of(endpoint: SoakEndpoint) -> Callable[[], tuple[str, int]]:
+def _endpoint_address(endpoint: SoakEndpoint) -> Callable[[], tuple[str, int]]:
     return lambda: endpoint.address
 
 
--- a/borageworks_emulator/soak/stepped_clock.py
+++ b/borageworks_emulator/soak/stepped_clock.py
@@ -1,4 +1,4 @@
-"""Runs the platform's program with a time of day that is wrong."""
+"""Runs the gateway program with a stepped wall clock."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 import runpy
 import time
 
-STEP_VARIABLE = "BORAGEWORKS_SOAK_CLOCK_STEP_S"
+CLOCK_STEP_VARIABLE = "BORAGEWORKS_SOAK_CLOCK_STEP_S"
 
 
 def main() -> None:
-    """Run the program; the steady clock stays as it is."""
-    step_s = float(os.environ.get(STEP_VARIABLE, "0"))
-    true_time = time.time
-    time.time = lambda: true_time() + step_s
+    """Run the program; the monotonic clock is not changed."""
+    step_s = float(os.environ.get(CLOCK_STEP_VARIABLE, "0"))
+    real_time = time.time
+    time.time = lambda: real_time() + step_s
     runpy.run_module("borageworks.platform.start", run_name="__main__")
 
 
--- a/borageworks_emulator/soak/tests/test_soak.py
+++ b/borageworks_emulator/soak/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""Tests of the soak as a whole, with gateway processes."""
+"""Tests of fault planning and of a complete soak with gateway processes."""
 
 import random
 import tempfile
@@ -9,28 +9,30 @@
 from testtools import TestCase
 
 from borageworks.__main__ import cli
+from borageworks_emulator.soak.fault_planner import FaultPlanner
 from borageworks_emulator.soak.faults import Fault
-from borageworks_emulator.soak.plan import Plan
 
 DOMAINS = {"edge-0": "a", "edge-1": "b", "edge-2": "a"}
 ENDPOINTS = ("engine-0", "desk-0")
 SHORT_MINUTES = 0.15
 
 
-class PlanTest(TestCase):
-    def draw(self, seed, duration_s=60.0):
-        return Plan(random.Random(seed), DOMAINS, ENDPOINTS).draw(duration_s)
+class FaultPlannerTest(TestCase):
+    def draw_plan(self, seed, duration_s=60.0):
+        return FaultPlanner(random.Random(seed), DOMAINS, ENDPOINTS).draw(duration_s)
 
     def test_same_seed_gives_the_same_plan(self):
-        self.assertEqual(self.draw(7), self.draw(7))
-        self.assertNotEqual(self.draw(7), self.draw(8))
+        self.assertEqual(self.draw_plan(7), self.draw_plan(7))
+        self.assertNotEqual(self.draw_plan(7), self.draw_plan(8))
 
-    def test_every_kind_of_fault_comes_up(self):
-        kinds = {type(item.fault) for seed in range(40) for item in self.draw(seed)}
+    def test_every_kind_of_fault_is_drawn(self):
+        kinds = {
+            type(item.fault) for seed in range(40) for item in self.draw_plan(seed)
+        }
         self.assertEqual(set(Fault.__args__), kinds)
 
-    def test_faults_stay_in_the_time_and_name_participants(self):
-        for planned in self.draw(3, 20.0):
+    def test_faults_start_within_the_duration_and_name_participants(self):
+        for planned in self.draw_plan(3, 20.0):
             self.assertTrue(0.0 <= planned.at_s < 20.0)
             for name in ("gateways", "sources", "targets"):
                 named = set(getattr(planned.fault, name, ()))
@@ -38,8 +40,8 @@
 
 
 class SoakTest(TestCase):
-    def test_short_soak_keeps_all_promises(self):
-        """Guards against faults that the other tests do not combine."""
+    def test_short_soak_meets_all_guarantees(self):
+        """Guards against failures that only combinations of faults cause."""
         with tempfile.TemporaryDirectory() as directory:
             result = CliRunner().invoke(
                 cli,
