--- a/borageworks_emulator/faults.py
+++ b/borageworks_emulator/faults.py
@@ -1,4 +1,4 @@
-"""Fault switches of an emulated endpoint."""
+"""Faults that can be injected into an emulated endpoint."""
 
 from __future__ import annotations
 
@@ -7,31 +7,33 @@
 
 @dataclass(slots=True)
 class Faults:
-    """Faults that a scenario switches while the endpoint runs.
+    """Faults that a scenario sets while the endpoint runs.
 
-    The `*_every` switches apply to each n-th request, so that a run can be repeated;
-    0 turns the fault off.
+    The `*_every` faults apply to each n-th request, so that runs are reproducible; 0
+    turns the fault off.
 
     Attributes
     ----------
     crash_marker : bytes
-        A request whose body contains it crashes the endpoint; empty never crashes.
+        A request whose body contains it crashes the endpoint; empty disables this.
     down_s : float
-        Seconds that the endpoint refuses connections after a crash.
+        Seconds for which the endpoint refuses connections after a crash.
     late_every, late_s
-        Which answers are held back after the run, and for how many seconds.
+        Which responses are delayed after the run, and by how many seconds.
     crossed : int
-        Pairs of answers that are still to be exchanged.
+        Number of pairs of requests whose responses are still to be swapped.
     cut_every, cut_chunks
-        Which streams end without end marker, and after how many chunks.
+        Which streams end without an end marker, and after how many chunks.
     frozen_load : bool
-        `/load` keeps its last values.
+        Whether `/load` keeps returning its last values.
     garbage_every : int
-        Which answers are outside the protocol.
+        Which responses violate the protocol.
     refuse_every : int
         Which requests are refused with status 503 before they run.
     slowdown : float
         Factor on every duration.
+    applied : dict[str, int]
+        How often each fault was applied, by name.
     """
 
     crash_marker: bytes = b""
--- a/borageworks_emulator/fleet.py
+++ b/borageworks_emulator/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of router processes for an emulated deployment."""
+"""Fleet of router processes for an emulated deployment."""
 
 from __future__ import annotations
 
@@ -19,17 +19,17 @@
 from borageworks_emulator.process import PROJECT_ROOT, RouterProcess
 from borageworks_emulator.topology import Topology
 
-TICKET_LIMIT_S = 30.0
-CONTROL_SENT_METRIC = "borageworks_control_bytes_sent"
+TICKET_TIMEOUT_S = 30.0
+CONTROL_BYTES_SENT_METRIC = "borageworks_control_bytes_sent"
 
 
 class TicketFailedError(Exception):
-    """The ticket command failed."""
+    """`borageworks ticket apply` failed."""
 
 
 @dataclass(frozen=True, slots=True)
 class FleetSample:
-    """Counters of the routers that ran at one time, by instance."""
+    """Counters of the running routers at one point in time, by instance."""
 
     at: float
     cpu_s: dict[str, float] = field(default_factory=dict)
@@ -45,12 +45,12 @@
     store_url: str,
     overrides: Mapping[str, Any] | None = None,
 ) -> list[Settings]:
-    """Return settings of `routers` instances spread over the topology's domains.
+    """Return settings of `routers` instances, spread over the failure domains.
 
     Parameters
     ----------
     overrides
-        Sections that replace the ones given here, by name.
+        Settings sections, by name, that replace the defaults of this function.
     """
     ports = free_ports(3 * routers)
     key = secrets.token_hex(32)
@@ -74,34 +74,34 @@
 
 
 class Fleet:
-    """Router processes; every one that was started is ended by `stop`.
+    """Router processes; `stop` kills every one that was started.
 
     Parameters
     ----------
     settings
         Settings of each instance.
     directory
-        Where settings files, tickets and output go.
+        Receives settings files, tickets and output.
     """
 
     def __init__(self, settings: list[Settings], directory: Path) -> None:
         self.directory = directory
-        self.routers = [RouterProcess(one, directory) for one in settings]
+        self.routers = [RouterProcess(each, directory) for each in settings]
         self._session: aiohttp.ClientSession | None = None
 
     @property
     def session(self) -> aiohttp.ClientSession:
-        """HTTP session for probes; `start` opens it."""
+        """HTTP session for probes, opened by `start`."""
         assert self._session is not None
         return self._session
 
     @property
     def urls(self) -> list[str]:
-        """Base addresses of the routers."""
+        """Base URLs of the routers."""
         return [router.url for router in self.routers]
 
     async def start(self) -> None:
-        """Start all routers; they become ready once a ticket was applied."""
+        """Start all routers; they become ready after the first ticket."""
         self._session = aiohttp.ClientSession(timeout=aiohttp.ClientTimeout(total=5.0))
         for router in self.routers:
             await router.start()
@@ -111,28 +111,28 @@
         await asyncio.gather(*(r.wait_ready(self.session) for r in self.routers))
 
     async def stop(self) -> None:
-        """End every router."""
+        """Kill every router and close the session."""
         await asyncio.gather(*(router.end() for router in self.routers))
         if self._session is not None:
             await self._session.close()
 
     async def apply(self, ticket: Ticket) -> None:
-        """Apply a ticket with the operators' command."""
+        """Apply a ticket with `borageworks ticket apply`."""
         await apply_ticket(self.routers[0].settings_file, ticket, self.directory)
 
     async def sample(self) -> FleetSample:
-        """Read counters of all routers that run."""
+        """Read the counters of all running routers."""
         sample = FleetSample(asyncio.get_running_loop().time())
         for router in self.routers:
             if not router.alive:
                 continue
             name = router.settings.instance
             metrics = await read_metrics(self.session, router.url)
-            control = control_bytes(metrics)
-            if control is not None:
-                sample.control_bytes[name] = control
-            if CONTROL_SENT_METRIC in metrics:
-                sample.control_bytes_sent[name] = metrics[CONTROL_SENT_METRIC]
+            total_bytes = control_bytes(metrics)
+            if total_bytes is not None:
+                sample.control_bytes[name] = total_bytes
+            if CONTROL_BYTES_SENT_METRIC in metrics:
+                sample.control_bytes_sent[name] = metrics[CONTROL_BYTES_SENT_METRIC]
             sample.cpu_s[name] = router.cpu_s
             sample.memory_mb[name] = router.memory_mb
             sample.starts[name] = router.starts
@@ -153,14 +153,14 @@
         sys.executable,
         "-m",
         "borageworks",
-        *ticket_arguments(settings_file, path),
+        *ticket_apply_arguments(settings_file, path),
         cwd=PROJECT_ROOT,
         stdin=asyncio.subprocess.DEVNULL,
         stdout=asyncio.subprocess.PIPE,
         stderr=asyncio.subprocess.STDOUT,
     )
     try:
-        async with asyncio.timeout(TICKET_LIMIT_S):
+        async with asyncio.timeout(TICKET_TIMEOUT_S):
             output, _ = await process.communicate()
     finally:
         if process.returncode is None:
@@ -170,22 +170,24 @@
         raise TicketFailedError(output.decode(errors="replace")[-2000:])
 
 
-def ticket_arguments(settings: Path, ticket: Path) -> list[str]:
-    """Return the arguments of the command that applies a ticket."""
+def ticket_apply_arguments(settings: Path, ticket: Path) -> list[str]:
+    """Return the command line arguments that apply a ticket."""
     return ["ticket", "apply", str(ticket), "--settings", str(settings)]
 
 
-def largest_rate(before: FleetSample, after: FleetSample, name: str) -> float | None:
-    """Return the largest rate per second of a counter over routers that ran throughout.
+def max_rate(before: FleetSample, after: FleetSample, name: str) -> float | None:
+    """Return the maximum rate per second of a counter over the routers.
 
-    `name` is `cpu_s` or `control_bytes`; None when no router reported it.
+    Routers that restarted between the samples are left out, since a restart resets
+    their counters. `name` is a counter field of `FleetSample`; the result is None if no
+    router reported it.
     """
-    first: dict[str, float] = getattr(before, name)
-    last: dict[str, float] = getattr(after, name)
-    span = after.at - before.at
+    start: dict[str, float] = getattr(before, name)
+    end: dict[str, float] = getattr(after, name)
+    elapsed_s = after.at - before.at
     rates = [
-        (last[router] - first[router]) / span
-        for router in first
-        if router in last and before.starts[router] == after.starts[router]
+        (end[router] - start[router]) / elapsed_s
+        for router in start
+        if router in end and before.starts[router] == after.starts[router]
     ]
-    return max(rates, default=None) if span > 0 else None
+    return max(rates, default=None) if elapsed_s > 0 else None
--- a/borageworks_emulator/process.py
+++ b/borageworks_emulator/process.py
@@ -1,4 +1,4 @@
-"""Programs in processes of their own."""
+"""Child processes of the emulator."""
 
 from __future__ import annotations
 
@@ -15,25 +15,29 @@
 from borageworks.events import Event
 from borageworks_emulator.probe import RouterNotReadyError, wait_ready
 
-READY_LIMIT_S = 30.0
-EXIT_LIMIT_S = 90.0
-KILL_LIMIT_S = 5.0
-ERROR_MARKS = (Event.TASK_FAILED.message_type, "Traceback", "Error handling request")
-CLOCK_TICKS = os.sysconf("SC_CLK_TCK")
+READY_TIMEOUT_S = 30.0
+EXIT_TIMEOUT_S = 90.0
+KILL_TIMEOUT_S = 5.0
+INTERNAL_ERROR_PATTERNS = (
+    Event.TASK_FAILED.message_type,
+    "Traceback",
+    "Error handling request",
+)
+CLOCK_TICKS_PER_S = os.sysconf("SC_CLK_TCK")
 PROJECT_ROOT = Path(__file__).resolve().parent.parent
 
 
 class Program:
-    """One program in a process of its own, controlled by the process's id.
+    """Python program that runs in a child process and is controlled by its id.
 
     Parameters
     ----------
     arguments
         Arguments of the Python interpreter.
     output_file
-        Receives what the program writes.
+        Receives standard output and standard error.
     environment
-        Variables beside those of this process.
+        Variables added to those of this process.
     """
 
     def __init__(
@@ -50,7 +54,7 @@
 
     @property
     def alive(self) -> bool:
-        """Whether the process runs."""
+        """Whether the process is running."""
         return self._process is not None and self._process.returncode is None
 
     async def start(self) -> None:
@@ -69,53 +73,53 @@
             )
 
     def output_tail(self) -> str:
-        """Return the end of what the process wrote."""
+        """Return the last 2,000 characters of the output."""
         return self.output_file.read_text(errors="replace")[-2000:]
 
     def internal_errors(self) -> list[str]:
-        """Return log lines of failed tasks and uncaught exceptions."""
+        """Return output lines that report failed tasks or uncaught exceptions."""
         text = self.output_file.read_text(errors="replace")
         return [
             line[:1000]
             for line in text.splitlines()
-            if any(mark in line for mark in ERROR_MARKS)
+            if any(pattern in line for pattern in INTERNAL_ERROR_PATTERNS)
         ]
 
     def send(self, number: signal.Signals) -> None:
-        """Send a signal to the process, if it runs."""
+        """Send a signal to the process if it is running."""
         if self._process is not None and self.alive:
             self._process.send_signal(number)
 
-    async def wait_exit(self, limit_s: float = EXIT_LIMIT_S) -> int:
-        """Return the exit code.
+    async def wait_exit(self, timeout_s: float = EXIT_TIMEOUT_S) -> int:
+        """Wait until the process exits and return its exit code.
 
         Raises
         ------
         TimeoutError
-            If the process still runs after `limit_s`.
+            If the process is still running after `timeout_s` seconds.
         """
         assert self._process is not None
-        async with asyncio.timeout(limit_s):
+        async with asyncio.timeout(timeout_s):
             return await self._process.wait()
 
     async def end(self) -> None:
-        """End the process by any means."""
+        """Kill the process, also if it is stopped by a signal."""
         if not self.alive:
             return
         self.send(signal.SIGCONT)
         self.send(signal.SIGKILL)
-        await self.wait_exit(KILL_LIMIT_S)
+        await self.wait_exit(KILL_TIMEOUT_S)
 
 
 class RouterProcess(Program):
-    """Starts `borageworks run` and controls the process by its id.
+    """Instance started with `borageworks run`.
 
     Parameters
     ----------
     settings
         Settings of the instance.
     directory
-        Where its settings file and output go.
+        Receives its settings file and output.
     """
 
     def __init__(self, settings: Settings, directory: Path) -> None:
@@ -129,7 +133,7 @@
 
     @property
     def url(self) -> str:
-        """Base address of the callers' interface."""
+        """Base URL of the API for callers."""
         host, port = self.settings.listen.pair
         return f"http://{host}:{port}"
 
@@ -139,11 +143,11 @@
         assert self._process is not None
         stat = Path(f"/proc/{self._process.pid}/stat").read_text()
         fields = stat.rsplit(")", 1)[1].split()
-        return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS
+        return (int(fields[11]) + int(fields[12])) / CLOCK_TICKS_PER_S
 
     @property
     def memory_mb(self) -> float:
-        """Largest resident size of the process in MB."""
+        """Peak resident set size of the process in MiB."""
         assert self._process is not None
         for line in Path(f"/proc/{self._process.pid}/status").read_text().splitlines():
             if line.startswith("VmHWM:"):
@@ -156,15 +160,15 @@
         Raises
         ------
         RouterNotReadyError
-            If the process ends or stays unready.
+            If the process exits or does not become ready in time.
         """
         try:
-            await wait_ready(session, self.url, READY_LIMIT_S, lambda: self.alive)
+            await wait_ready(session, self.url, READY_TIMEOUT_S, lambda: self.alive)
         except RouterNotReadyError as error:
             raise RouterNotReadyError(f"{error}; {self.output_tail()}") from error
 
     async def status(self, session: aiohttp.ClientSession) -> dict[str, object]:
-        """Return the router's own state for operators."""
+        """Return the router's status document."""
         async with session.get(f"{self.url}/status") as response:
             document: dict[str, object] = await response.json()
         return document
--- a/borageworks_emulator/scenario.py
+++ b/borageworks_emulator/scenario.py
@@ -1,4 +1,4 @@
-"""Runs one scenario: the baseline first, then the fleet, on the same trace."""
+"""Runner of scenarios: the baseline first, then the fleet, on the same trace."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     Fleet,
     FleetSample,
     TicketFailedError,
-    largest_rate,
+    max_rate,
     router_settings,
 )
 from borageworks_emulator.lag import LoopLag
@@ -36,14 +36,14 @@
 from borageworks_emulator.store import EmulatedStore
 from borageworks_emulator.topology import TOPOLOGIES, AnyEndpoint, Topology
 
-# Instances take up their roles and load the configuration within this time.
+# Time for the instances to take on their roles and to load the configuration.
 SETTLE_S = 3.0
-IDLE_SPAN_S = 4.0
+IDLE_MEASUREMENT_S = 4.0
 
 
 @dataclass(frozen=True, slots=True)
 class Options:
-    """How to run a scenario; `directory` None uses a temporary one."""
+    """Options of a run; without `directory`, a temporary one is used."""
 
     topology: Topology
     seed: int = 1
@@ -54,16 +54,18 @@
 
 @dataclass(slots=True)
 class Stage:
-    """What the faults of a scenario act on.
+    """Running emulation that the faults of a scenario act on.
 
     Attributes
     ----------
+    began
+        Start of the load in monotonic time.
     excused
-        Spans in which calls to a killed router may break.
+        Periods in which calls to a killed router may fail.
     notes
-        Figures that the scenario measures itself.
+        Measurements made by the scenario itself.
     applied
-        Faults other than those of endpoints, by name.
+        Number of faults applied outside the endpoints, by name.
     """
 
     options: Options
@@ -76,18 +78,18 @@
     notes: dict[str, float] = field(default_factory=dict)
     applied: Counter[str] = field(default_factory=Counter)
 
-    async def until(self, part: float) -> None:
-        """Sleep until a part of the load's duration has passed."""
-        at = self.began + part * self.options.duration_s
+    async def until(self, fraction: float) -> None:
+        """Sleep until this fraction of the load's duration has passed."""
+        at = self.began + fraction * self.options.duration_s
         await asyncio.sleep(max(0.0, at - time.monotonic()))
 
 
 async def _no_faults(stage: Stage) -> None:
-    """Leave everything as it is."""
+    """Apply no faults to the fleet."""
 
 
 async def _no_endpoint_faults(endpoints: list[AnyEndpoint], duration_s: float) -> None:
-    """Leave the baseline's endpoints as they are."""
+    """Apply no faults to the baseline's endpoints."""
 
 
 def _no_checks(result: Result, calls: LoadResult) -> list[Check]:
@@ -96,26 +98,26 @@
 
 @dataclass(frozen=True, slots=True)
 class Scenario:
-    """A load with faults and targets.
+    """Load with faults and targets.
 
     Parameters
     ----------
     flows
-        Load for a topology and a number of routers.
+        Returns the load for a topology and a number of routers.
     faults
-        Acts on the fleet's side while the load runs. The run ends with the later of
-        load and faults.
+        Applies faults to the fleet while the load runs. The run ends when both load and
+        faults have ended.
     endpoint_faults
-        The faults that the baseline's endpoints get too: those that change speed.
+        Applies the faults that the baseline's endpoints share: changes of speed.
     compared
-        Whether gap and utilisation are held against the baseline: the load keeps some
-        organisations backlogged.
+        Whether fairness gap and utilisation are compared with the baseline. This needs
+        a load that keeps some organisations backlogged.
     checks
-        Targets of this scenario beyond the common ones.
+        Returns the checks of this scenario beside the common ones.
     may_refuse
-        Refusal codes that are right answers in this scenario.
+        Codes of refusals that are expected in this scenario.
     overrides
-        Sections of the routers' settings.
+        Settings sections, by name, that replace the defaults of the routers.
     """
 
     name: str
@@ -132,7 +134,7 @@
 
 
 async def run_scenario(scenario: Scenario, options: Options) -> Result:
-    """Run baseline and fleet and hold the result against the targets."""
+    """Run baseline and fleet, and check the result against the targets."""
     topology = options.topology
     trace = Trace(
         scenario.flows(topology, options.routers), options.seed, options.duration_s
@@ -148,7 +150,9 @@
     async def central_faults(endpoints: list[AnyEndpoint]) -> None:
         await scenario.endpoint_faults(endpoints, options.duration_s)
 
-    _say(f"{scenario.name}: central queue, {options.duration_s:g} s")
+    _print_progress(
+        f"{scenario.name}: running the central queue for {options.duration_s:g} s"
+    )
     async with LoopLag() as lag:
         central = await run_central(topology, trace, central_faults)
     result.central = central.measures
@@ -184,13 +188,15 @@
             topology, options.routers, store.url, scenario.overrides
         )
         fleet = Fleet(settings, directory)
-        _say(f"{scenario.name}: starting {options.routers} routers")
+        _print_progress(f"{scenario.name}: starting {options.routers} routers")
         await fleet.start()
         await fleet.apply(topology.ticket(endpoints))
         await fleet.wait_ready()
         stage = Stage(options, endpoints, fleet, Balancer(fleet.urls), store)
         await _measure_idle(stage, result)
-        _say(f"{scenario.name}: load for {options.duration_s:g} s")
+        _print_progress(
+            f"{scenario.name}: running the load for {options.duration_s:g} s"
+        )
         async with LoopLag() as lag:
             load = await _load(scenario, stage, trace, result)
         result.emulator_lag_ms["fleet"] = 1000 * lag.quantile(99)
@@ -213,75 +219,79 @@
 
 
 async def _measure_idle(stage: Stage, result: Result) -> None:
-    """Measure what the fleet does without any request."""
+    """Measure CPU time and store calls of the fleet without requests."""
     await asyncio.sleep(SETTLE_S)
-    before, calls = await stage.fleet.sample(), Counter(stage.store.calls)
-    await asyncio.sleep(IDLE_SPAN_S)
+    before, calls_before = await stage.fleet.sample(), Counter(stage.store.calls)
+    await asyncio.sleep(IDLE_MEASUREMENT_S)
     after = await stage.fleet.sample()
-    cpu = largest_rate(before, after, "cpu_s")
+    cpu = max_rate(before, after, "cpu_s")
     result.idle_cpu_percent = None if cpu is None else 100 * cpu
-    made = Counter(stage.store.calls) - calls
-    result.notes["idle_store_calls_per_second"] = made.total() / IDLE_SPAN_S
+    store_calls = Counter(stage.store.calls) - calls_before
+    result.notes["idle_store_calls_per_second"] = (
+        store_calls.total() / IDLE_MEASUREMENT_S
+    )
 
 
 async def _load(
     scenario: Scenario, stage: Stage, trace: Trace, result: Result
 ) -> LoadResult:
     generator = LoadGenerator(trace, stage.balancer)
-    before, calls = await stage.fleet.sample(), Counter(stage.store.calls)
+    before, calls_before = await stage.fleet.sample(), Counter(stage.store.calls)
     stage.began = time.monotonic()
     faults = asyncio.ensure_future(scenario.faults(stage))
-    sampler = asyncio.create_task(_sample_at_end(stage))
+    sampler = asyncio.create_task(_sample_at_load_end(stage))
     try:
         load = await generator.run()
         after = await sampler
-        made = Counter(stage.store.calls) - calls
-        result.store_calls = dict(sorted(made.items()))
-        result.store_calls_per_second = made.total() / (time.monotonic() - stage.began)
-        await _finish_faults(faults, result)
-        _note_routers(stage, result)
+        store_calls = Counter(stage.store.calls) - calls_before
+        result.store_calls = dict(sorted(store_calls.items()))
+        result.store_calls_per_second = store_calls.total() / (
+            time.monotonic() - stage.began
+        )
+        await _await_faults(faults, result)
+        _record_router_failures(stage, result)
     finally:
         for task in (faults, sampler):
             task.cancel()
             with suppress(asyncio.CancelledError):
                 await task
-    cpu = largest_rate(before, after, "cpu_s")
+    cpu = max_rate(before, after, "cpu_s")
     result.cpu_percent = None if cpu is None else 100 * cpu
-    result.control_bytes_per_second = largest_rate(before, after, "control_bytes")
-    sent = largest_rate(before, after, "control_bytes_sent")
+    result.control_bytes_per_second = max_rate(before, after, "control_bytes")
+    sent = max_rate(before, after, "control_bytes_sent")
     if sent is not None:
         result.notes["control_bytes_sent_per_second"] = sent
     result.memory_mb = max(after.memory_mb.values(), default=0.0)
     return load
 
 
-async def _finish_faults(faults: asyncio.Future[None], result: Result) -> None:
-    """Wait for the faults; one that could not be applied is a failure of the run."""
+async def _await_faults(faults: asyncio.Future[None], result: Result) -> None:
+    """Wait for the faults; a fault that cannot be applied is a failure of the run."""
     try:
         await faults
     except (RouterNotReadyError, TicketFailedError, TimeoutError) as error:
         result.failures.append(f"{type(error).__name__}: {error}")
 
 
-def _note_routers(stage: Stage, result: Result) -> None:
-    """Note routers that ended by themselves and internal errors that they logged."""
+def _record_router_failures(stage: Stage, result: Result) -> None:
+    """Record routers that exited unexpectedly or logged internal errors."""
     for router in stage.fleet.routers:
         name = router.settings.instance
         if not router.alive:
-            result.failures.append(f"{name} ended: {router.output_tail()}")
+            result.failures.append(f"{name} exited: {router.output_tail()}")
         errors = router.internal_errors()
         if errors:
             result.failures.append(f"{name} logged internal errors: {errors[0]}")
 
 
-async def _sample_at_end(stage: Stage) -> FleetSample:
-    """Sample when the load ends, before the drain."""
+async def _sample_at_load_end(stage: Stage) -> FleetSample:
+    """Sample the counters when the load ends, before the drain."""
     await stage.until(1.0)
     return await stage.fleet.sample()
 
 
 def common_checks(scenario: Scenario, options: Options, result: Result) -> list[Check]:
-    """Hold a result against the targets that are common to all scenarios."""
+    """Check a result against the targets that are common to all scenarios."""
     measures, central = result.measures, result.central or Measures()
     checks = [
         at_most(name, getattr(measures, name), 0)
@@ -300,11 +310,11 @@
     )
     if scenario.compared:
         backlogged = _backlogged_pools(scenario, result)
-        checks += _comparison(options, backlogged, measures, central)
+        checks += _baseline_checks(options, backlogged, measures, central)
     return checks
 
 
-def _comparison(
+def _baseline_checks(
     options: Options, backlogged: set[str], measures: Measures, central: Measures
 ) -> list[Check]:
     checks = []
@@ -312,7 +322,7 @@
         gap = measures.gap_detail[pool]
         limit = targets.GAP_RATIO * central.fairness_gap[pool]
         checks.append(at_most(f"fairness gap of {pool}", gap.units, limit))
-        bound = _bound(options.topology, pool, gap, measures)
+        bound = _fairness_gap_bound(options.topology, pool, gap, measures)
         checks.append(at_most(f"fairness gap of {pool}, bound", gap.units, bound))
         checks.append(
             at_least(
@@ -325,7 +335,7 @@
 
 
 def median_checks(scenario: Scenario, results: Sequence[Result]) -> list[Check]:
-    """Hold the median of the gaps over seeds against the baseline."""
+    """Check the median over seeds of the fairness gap relative to the baseline."""
     if not scenario.compared:
         return []
     checks = []
@@ -335,9 +345,9 @@
             for result in results
             if result.central and result.central.fairness_gap[pool]
         ]
-        middle = median(ratios) if ratios else inf
+        median_ratio = median(ratios) if ratios else inf
         name = f"median gap of {pool} by the baseline's"
-        checks.append(at_most(name, middle, targets.GAP_MEDIAN_RATIO))
+        checks.append(at_most(name, median_ratio, targets.GAP_MEDIAN_RATIO))
     return checks
 
 
@@ -346,7 +356,9 @@
     return {flow.pool for flow in flows if flow.workers and not flow.limit}
 
 
-def _bound(topology: Topology, pool: str, gap: Gap, measures: Measures) -> float:
+def _fairness_gap_bound(
+    topology: Topology, pool: str, gap: Gap, measures: Measures
+) -> float:
     if not gap.first:
         return 0.0
     shares = topology.shares
@@ -363,14 +375,14 @@
 
 
 def at_most(name: str, measured: float, limit: float) -> Check:
-    """Return a check that a figure is not above a limit."""
+    """Return a check that a value does not exceed a limit."""
     return Check(name, measured, limit, measured <= limit)
 
 
 def at_least(name: str, measured: float, limit: float) -> Check:
-    """Return a check that a figure is not below a limit."""
+    """Return a check that a value is not below a limit."""
     return Check(name, measured, limit, measured >= limit)
 
 
-def _say(text: str) -> None:
+def _print_progress(text: str) -> None:
     click.echo(text, err=True)
--- a/borageworks_emulator/slopes.py
+++ b/borageworks_emulator/slopes.py
@@ -1,4 +1,4 @@
-"""All slopes from which docs/CAPACITY.md is worked out."""
+"""Measurements of how costs grow with size, the basis of docs/CAPACITY.md."""
 
 from __future__ import annotations
 
@@ -11,13 +11,15 @@
 from borageworks_emulator.slopes_membership import measure_membership
 from borageworks_emulator.slopes_wire import measure_messages, measure_tokens
 
-# 800 members take several minutes; `measure_size(800)` measures them.
-MEMBERS = (25, 50, 100, 200)
-DEATHS = 4
+# A fleet of 800 members takes several minutes: run `measure_size(800)` for it.
+FLEET_SIZES = (25, 50, 100, 200)
+DEATH_COUNT = 4
 
 MEASUREMENTS: dict[str, Callable[[int], Sequence[Any]]] = {
     "catalog": lambda seed: measure_catalog(seed=seed),
-    "membership": lambda seed: measure_membership(MEMBERS, seed=seed, deaths=DEATHS),
+    "membership": lambda seed: measure_membership(
+        FLEET_SIZES, seed=seed, deaths=DEATH_COUNT
+    ),
     "fair queue": lambda seed: measure_queue(seed=seed),
     "aggregator": lambda _: measure_aggregator(),
     "messages": lambda _: measure_messages(),
@@ -28,7 +30,10 @@
 def measure_slopes(
     seed: int, progress: Callable[[str], None]
 ) -> dict[str, list[dict[str, Any]]]:
-    """Return every slope's rows by name; `progress` is told each name before."""
+    """Return the rows of every measurement by name.
+
+    `progress` is called with each name before its measurement starts.
+    """
     slopes = {}
     for name, measurement in MEASUREMENTS.items():
         progress(name)
@@ -37,7 +42,7 @@
 
 
 def render(rows: list[dict[str, Any]]) -> list[str]:
-    """Return one slope as lines of a table."""
+    """Return the rows of one measurement as lines of a table."""
     names = [name for name, value in rows[0].items() if not isinstance(value, tuple)]
     lines = ["  ".join(names)]
     for row in rows:
--- a/borageworks_emulator/slopes_catalog.py
+++ b/borageworks_emulator/slopes_catalog.py
@@ -1,4 +1,4 @@
-"""Measures how the cost of the configuration grows with its size."""
+"""Measurements of how the cost of the configuration grows with its size."""
 
 from __future__ import annotations
 
@@ -31,17 +31,17 @@
 from borageworks.wire.codec import encode
 from borageworks.wire.messages import CatalogDigest, CatalogObjects
 
-SIZES = (1_000, 4_000, 12_000, 28_000)
-MODELS = 21
-# 4,200 endpoints at 28,000 organisations.
+ORGANISATION_COUNTS = (1_000, 4_000, 12_000, 28_000)
+MODEL_COUNT = 21
+# This gives 4,200 endpoints at 28,000 organisations.
 ENDPOINTS_PER_ORGANISATION = 0.15
-TICKETS = 5
-HEX_DIGITS = 64
+TICKET_COUNT = 5
+KEY_HEX_DIGITS = 64
 
 
 @dataclass(frozen=True, slots=True)
 class CatalogSlope:
-    """Cost at one size.
+    """Cost of the configuration at one size.
 
     Parameters
     ----------
@@ -50,22 +50,22 @@
     bucket_bytes_mean, bucket_bytes_max
         Size of the stored buckets.
     replica_bytes
-        Traced memory of a replica with its objects and indexes.
+        Memory of a replica with its objects and indexes, by `tracemalloc`.
     decode_s, merge_s
         CPU seconds to decode all buckets and to merge all objects.
     ticket_s
-        CPU seconds of a ticket that changes one organisation, with the read and the
-        decoding of the whole state; mean of `TICKETS`.
+        CPU seconds to apply a ticket that changes one organisation, with the read and
+        the decoding of the whole state; mean over `TICKET_COUNT`.
     ticket_bytes
-        Bytes that this ticket writes.
+        Bytes written to the store by this ticket.
     change_s
-        CPU seconds of a watcher to decode and merge the changed bucket.
+        CPU seconds for a watcher to decode and merge the changed bucket.
     push_bytes
-        Frame that passes one changed organisation on to one peer.
+        Size of the frame that sends one changed organisation to a peer.
     digest_bytes
-        Frame of a digest.
+        Size of the frame of a digest.
     full_bytes
-        Encoded objects of a whole replica, as sent to an instance that starts empty.
+        Size of all encoded objects, as sent to an instance with an empty replica.
     """
 
     organisations: int
@@ -84,24 +84,24 @@
 
 
 def measure_catalog(
-    sizes: Sequence[int] = SIZES, seed: int = 1
+    sizes: Sequence[int] = ORGANISATION_COUNTS, seed: int = 1
 ) -> tuple[CatalogSlope, ...]:
-    """Return the cost at each size, for organisations and endpoints by `seed`."""
-    return tuple(asyncio.run(_measure(size, seed)) for size in sizes)
+    """Return the cost at each size; `seed` determines the generated objects."""
+    return tuple(asyncio.run(_measure_size(size, seed)) for size in sizes)
 
 
-def generate(organisations: int, seed: int) -> list[Versioned]:
-    """Return a configuration; each organisation has one API key."""
+def generate_configuration(organisations: int, seed: int) -> list[Versioned]:
+    """Return a random configuration in which each organisation has one API key."""
     rng = random.Random(seed)
     values: list[Organisation | Pool | Service | Endpoint] = [
         Organisation(
             id=f"organisation-{number:05d}",
             share=float(rng.choice((1, 1, 1, 2, 5, 10))),
-            keys=(f"{rng.getrandbits(4 * HEX_DIGITS):0{HEX_DIGITS}x}",),
+            keys=(f"{rng.getrandbits(4 * KEY_HEX_DIGITS):0{KEY_HEX_DIGITS}x}",),
         )
         for number in range(organisations)
     ]
-    for number in range(MODELS):
+    for number in range(MODEL_COUNT):
         name = f"model-{number:02d}"
         values.append(Pool.model_validate({"id": name, "endpoints": "engine"}))
         values.append(Service(id=name, pool=name))
@@ -109,7 +109,7 @@
         Endpoint.model_validate(
             {
                 "id": f"engine-{number:04d}",
-                "pool": f"model-{rng.randrange(MODELS):02d}",
+                "pool": f"model-{rng.randrange(MODEL_COUNT):02d}",
                 "domain": f"domain-{number % 9}",
                 "host": f"10.0.{number // 256}.{number % 256}",
                 "port": 8000,
@@ -124,12 +124,12 @@
 
 
 class _MemoryStore:
-    """Store without failures or delays, so that only the caller's work is measured."""
+    """In-memory store without failures or delays, to measure only its client's work."""
 
     def __init__(self, values: dict[str, StoredValue]) -> None:
         self.values = values
         self.revision = 1
-        self.written = 0
+        self.bytes_written = 0
 
     async def get(self, key: str) -> StoredValue | None:
         return self.values.get(key)
@@ -142,7 +142,7 @@
         self.revision += 1
         for key, value in transaction.puts.items():
             self.values[key] = StoredValue(value, self.revision)
-            self.written += len(value)
+            self.bytes_written += len(value)
         return CommitResult(True, self.revision)
 
     async def grant_lease(self, ttl_s: float) -> Lease:
@@ -155,8 +155,8 @@
         raise NotImplementedError
 
 
-async def _measure(size: int, seed: int) -> CatalogSlope:
-    objects = generate(size, seed)
+async def _measure_size(size: int, seed: int) -> CatalogSlope:
+    objects = generate_configuration(size, seed)
     groups: list[list[Versioned]] = [[] for _ in range(BUCKETS)]
     for item in objects:
         groups[bucket_of(item.kind, item.id)].append(item)
@@ -176,15 +176,15 @@
     values = {keys.bucket(i): StoredValue(data, 1) for i, data in enumerate(stored)}
     store = _MemoryStore({keys.head: StoredValue(head.encode(), 1), **values})
     name = objects[0].id
-    keys_of_first = replica.organisations[name].keys
+    api_keys = replica.organisations[name].keys
     started = time.process_time()
-    for number in range(TICKETS):
+    for number in range(TICKET_COUNT):
         change = Ticket(
             number=len(objects) + 1 + number,
-            put=(Organisation(id=name, share=11.0 + number, keys=keys_of_first),),
+            put=(Organisation(id=name, share=11.0 + number, keys=api_keys),),
         )
         await apply_ticket(store, CATALOG_PREFIX, change)
-    ticket_s = (time.process_time() - started) / TICKETS
+    ticket_s = (time.process_time() - started) / TICKET_COUNT
 
     changed = store.values[keys.bucket(bucket_of("organisation", name))]
     started = time.process_time()
@@ -200,7 +200,7 @@
         decode_s=decode_s,
         merge_s=merge_s,
         ticket_s=ticket_s,
-        ticket_bytes=store.written / TICKETS,
+        ticket_bytes=store.bytes_written / TICKET_COUNT,
         change_s=change_s,
         push_bytes=len(encode([CatalogObjects(tuple(i.encode() for i in merged))])),
         digest_bytes=len(encode([CatalogDigest(digest.revision, digest.hashes)])),
@@ -215,9 +215,9 @@
     for data in stored:
         replica.merge(Bucket.decode(data, 1).objects)
     gc.collect()
-    traced, _ = tracemalloc.get_traced_memory()
+    traced_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return traced
+    return traced_bytes
 
 
 if __name__ == "__main__":
--- a/borageworks_emulator/slopes_fair.py
+++ b/borageworks_emulator/slopes_fair.py
@@ -1,4 +1,4 @@
-"""Measures how the cost of fair queueing grows with organisations and owners."""
+"""Measurements of how fair queueing cost grows with organisations and owners."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from borageworks.fair.queue import FairQueue
 from borageworks.wire.messages import ServiceReport
 
-QUEUE_SIZES = (280, 1_000, 2_800, 28_000)
-AGGREGATOR_SIZES = (280, 1_000, 2_800, 10_000)
-OWNERS = 22  # owners of one pool in one domain at 800 nodes
-ENTRIES = 4  # entry instances that hold one organisation's demand
+QUEUE_ORGANISATION_COUNTS = (280, 1_000, 2_800, 28_000)
+AGGREGATOR_ORGANISATION_COUNTS = (280, 1_000, 2_800, 10_000)
+OWNER_COUNT = 22  # of one pool in one failure domain at 800 instances
+ENTRY_INSTANCE_COUNT = 4  # that report demand of one organisation
 ROUNDS = 20_000
 
 
@@ -27,11 +27,11 @@
     Parameters
     ----------
     organisations
-        Backlogged organisations.
+        Number of backlogged organisations.
     bytes_each
-        Memory of one of them.
+        Memory per organisation.
     round_us
-        Microseconds of one `take` with its `charge`.
+        CPU microseconds of one `take` with its `charge`.
     """
 
     organisations: int
@@ -41,16 +41,16 @@
 
 @dataclass(frozen=True, slots=True)
 class AggregatorSlope:
-    """Cost of one pool's aggregator in one domain.
+    """Cost of the aggregator of one pool in one failure domain.
 
     Parameters
     ----------
     organisations, owners
-        Backlogged organisations, each reported by every owner.
+        Number of backlogged organisations and of owners, which each report all of them.
     bytes_per_counter
-        Memory of one counter.
+        Memory per counter.
     report_us, error_us
-        Microseconds to take one report and to derive one organisation's error.
+        CPU microseconds to process one report and to compute one organisation's error.
     """
 
     organisations: int
@@ -61,38 +61,38 @@
 
 
 def measure_queue(
-    sizes: Sequence[int] = QUEUE_SIZES, seed: int = 1
+    sizes: Sequence[int] = QUEUE_ORGANISATION_COUNTS, seed: int = 1
 ) -> list[QueueSlope]:
-    """Measure a fair queue with all organisations backlogged."""
-    return [_queue(size, random.Random(seed)) for size in sizes]
+    """Measure a fair queue in which all organisations are backlogged."""
+    return [_measure_queue_size(size, random.Random(seed)) for size in sizes]
 
 
 def measure_aggregator(
-    sizes: Sequence[int] = AGGREGATOR_SIZES, owners: int = OWNERS
+    sizes: Sequence[int] = AGGREGATOR_ORGANISATION_COUNTS, owners: int = OWNER_COUNT
 ) -> list[AggregatorSlope]:
     """Measure an aggregator whose organisations have demand at every owner."""
-    return [_aggregator(size, owners) for size in sizes]
+    return [_measure_aggregator_size(size, owners) for size in sizes]
 
 
-def _queue(size: int, rng: random.Random) -> QueueSlope:
+def _measure_queue_size(size: int, rng: random.Random) -> QueueSlope:
     gc.collect()
     tracemalloc.start()
     queue = FairQueue()
     for number in range(size):
-        for _ in range(ENTRIES):
+        for _ in range(ENTRY_INSTANCE_COUNT):
             queue.set_demand(0.0, f"entry-{rng.randrange(800)}", f"org-{number}", 1000)
-    held, _ = tracemalloc.get_traced_memory()
+    traced_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    began = time.process_time()
+    started = time.process_time()
     for _ in range(ROUNDS):
         pick = queue.take(0.0)
         assert pick is not None
         queue.charge(pick.organisation, rng.paretovariate(1.5))
-    spent = time.process_time() - began
-    return QueueSlope(size, held / size, spent / ROUNDS * 1e6)
+    elapsed = time.process_time() - started
+    return QueueSlope(size, traced_bytes / size, elapsed / ROUNDS * 1e6)
 
 
-def _aggregator(size: int, owners: int) -> AggregatorSlope:
+def _measure_aggregator_size(size: int, owners: int) -> AggregatorSlope:
     reports = [
         ServiceReport(
             "pool", f"org-{number}", f"owner-{owner}", 1, 1.0 + owner, True, "d", 1
@@ -105,20 +105,20 @@
     aggregator = Aggregator("pool", "d", 10.0)
     for report in reports:
         aggregator.report(0.0, report)
-    held, _ = tracemalloc.get_traced_memory()
+    traced_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     aggregator.errors(0.0, {})
-    began = time.process_time()
+    started = time.process_time()
     for report in reports:
         aggregator.report(4.0, report)
-    reported = time.process_time() - began
-    began = time.process_time()
+    report_elapsed = time.process_time() - started
+    started = time.process_time()
     aggregator.errors(4.0, {})
-    derived = time.process_time() - began
+    errors_elapsed = time.process_time() - started
     return AggregatorSlope(
         size,
         owners,
-        held / len(reports),
-        reported / len(reports) * 1e6,
-        derived / size * 1e6,
+        traced_bytes / len(reports),
+        report_elapsed / len(reports) * 1e6,
+        errors_elapsed / size * 1e6,
     )
--- a/borageworks_emulator/slopes_wire.py
+++ b/borageworks_emulator/slopes_wire.py
@@ -1,4 +1,4 @@
-"""Measures the cost of messages and of streamed tokens."""
+"""Measurements of the cost of messages and of streamed tokens."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MessageSlope:
-    """Bytes and CPU microseconds of one message in a frame of its own."""
+    """Size in bytes and CPU microseconds of one message in its own frame."""
 
     name: str
     bytes: int
@@ -41,47 +41,47 @@
 
 @dataclass(frozen=True, slots=True)
 class TokenSlope:
-    """CPU microseconds to decode one streamed token, by tokens that arrive at once."""
+    """CPU microseconds to decode one streamed token, by tokens received at once."""
 
     tokens_at_once: int
     decode_us: float
 
 
 def measure_messages() -> list[MessageSlope]:
-    """Measure the messages that each request may need."""
-    found = []
+    """Measure the messages that a request may cause."""
+    slopes = []
     for message in EXAMPLES:
         data = encode([message])
-        began = time.process_time()
+        started = time.process_time()
         for _ in range(ROUNDS):
             encode([message])
-        encoded = time.process_time() - began
-        began = time.process_time()
+        encode_elapsed = time.process_time() - started
+        started = time.process_time()
         for _ in range(ROUNDS):
             decode(data)
-        decoded = time.process_time() - began
-        found.append(
+        decode_elapsed = time.process_time() - started
+        slopes.append(
             MessageSlope(
                 type(message).__name__,
                 len(data),
-                encoded / ROUNDS * 1e6,
-                decoded / ROUNDS * 1e6,
+                encode_elapsed / ROUNDS * 1e6,
+                decode_elapsed / ROUNDS * 1e6,
             )
         )
-    return found
+    return slopes
 
 
 def measure_tokens() -> list[TokenSlope]:
-    """Measure the decoder of server-sent events."""
+    """Measure the decoder of server-sent events at several tokens per chunk."""
     choice = {"index": 0, "delta": {"content": " token"}}
     event = b"data: " + orjson.dumps({"id": "x", "choices": [choice]}) + b"\n\n"
-    found = []
-    for at_once in (1, 4, 16, 64):
+    slopes = []
+    for chunk_tokens in (1, 4, 16, 64):
         decoder = StreamDecoder()
-        rounds = ROUNDS // at_once
-        began = time.process_time()
+        rounds = ROUNDS // chunk_tokens
+        started = time.process_time()
         for _ in range(rounds):
-            decoder.feed(event * at_once)
-        spent = time.process_time() - began
-        found.append(TokenSlope(at_once, spent / (rounds * at_once) * 1e6))
-    return found
+            decoder.feed(event * chunk_tokens)
+        elapsed = time.process_time() - started
+        slopes.append(TokenSlope(chunk_tokens, elapsed / (rounds * chunk_tokens) * 1e6))
+    return slopes
--- a/borageworks_emulator/targets.py
+++ b/borageworks_emulator/targets.py
@@ -1,4 +1,4 @@
-"""Targets of docs/design.md, section 1; never taken from measurements."""
+"""Targets of docs/design.md, section 1, that scenarios are checked against."""
 
 from __future__ import annotations
 
@@ -13,6 +13,6 @@
 LEAVING_S = 3.0
 EFFECT_S = 4.0
 CRASHED_ENDPOINTS = 3
-# Store budget of an idle fleet: a tenth of 2,000 reads/s and 300 writes/s at 800
-# instances, per instance.
+# Store budget of one idle instance: a tenth of 2,000 reads/s and 300 writes/s for a
+# fleet of 800 instances.
 STORE_CALLS_PER_ROUTER = 0.1 * (2_000 + 300) / 800
--- a/borageworks_emulator/tests/test_fleet.py
+++ b/borageworks_emulator/tests/test_fleet.py
@@ -16,7 +16,7 @@
     Fleet,
     FleetSample,
     TicketFailedError,
-    largest_rate,
+    max_rate,
     router_settings,
 )
 from borageworks_emulator.probe import (
@@ -32,20 +32,20 @@
 
 class SettingsTest(testtools.TestCase):
     def test_settings_are_valid_and_addresses_distinct(self):
-        """Guards against two routers on one port and files that `run` refuses."""
+        """Guards against routers that share a port and settings that `run` rejects."""
         settings = router_settings(PATITSA, 6, "http://127.0.0.1:1")
         pairs = [
             address.pair
-            for one in settings
-            for address in (one.listen, one.gossip, one.peer)
+            for each in settings
+            for address in (each.listen, each.gossip, each.peer)
         ]
         self.assertEqual(18, len(set(pairs)))
-        self.assertEqual(3, len({one.domain for one in settings}))
-        for one in settings:
-            self.assertEqual(one, Settings.model_validate_json(one.model_dump_json()))
+        self.assertEqual(3, len({each.domain for each in settings}))
+        for each in settings:
+            self.assertEqual(each, Settings.model_validate_json(each.model_dump_json()))
 
     def test_first_ticket_is_complete(self):
-        """Guards against a deployment whose objects refer to missing ones."""
+        """Guards against a ticket whose objects refer to missing objects."""
 
         async def main(topology):
             endpoints = topology.endpoints()
@@ -59,8 +59,8 @@
 
         for topology in (PATITSA, SLAAPCEL):
             ticket = asyncio.run(main(topology))
-            copy = Ticket.model_validate_json(ticket.model_dump_json())
-            self.assertEqual(ticket, copy)
+            decoded = Ticket.model_validate_json(ticket.model_dump_json())
+            self.assertEqual(ticket, decoded)
             pools = {item.id for item in ticket.put if item.kind == "pool"}
             used = {
                 item.pool for item in ticket.put if item.kind in ("endpoint", "service")
@@ -69,8 +69,8 @@
 
 
 class TicketTest(testtools.TestCase):
-    def test_operators_command_accepts_the_ticket_and_refuses_an_older_one(self):
-        """Guards against a deployment that the operators' command cannot create."""
+    def test_ticket_command_accepts_a_ticket_and_rejects_an_older_one(self):
+        """Guards against a deployment that `borageworks ticket apply` cannot create."""
 
         async def main(directory):
             store = EmulatedStore()
@@ -99,21 +99,21 @@
 
 
 class SampleTest(testtools.TestCase):
-    def test_restarted_routers_do_not_count(self):
-        """Guards against a rate from counters that a restart set back."""
+    def test_restarted_routers_are_left_out_of_the_rate(self):
+        """Guards against a rate computed from counters that a restart reset."""
         before = FleetSample(
             0.0, control_bytes={"a": 100.0, "b": 0.0}, starts={"a": 1, "b": 1}
         )
         after = FleetSample(
             2.0, control_bytes={"a": 10.0, "b": 50.0}, starts={"a": 2, "b": 1}
         )
-        self.assertEqual(25.0, largest_rate(before, after, "control_bytes"))
-        self.assertIsNone(largest_rate(before, after, "cpu_s"))
+        self.assertEqual(25.0, max_rate(before, after, "control_bytes"))
+        self.assertIsNone(max_rate(before, after, "cpu_s"))
 
 
 class ProbeTest(testtools.TestCase):
     def test_metrics_are_summed_over_labels(self):
-        """Guards against control bytes of which one label is missed."""
+        """Guards against control bytes that leave out a label."""
         text = (
             "# TYPE borageworks_control_bytes_total counter\n"
             'borageworks_control_bytes_total{reason="sent"} 5\n'
@@ -122,8 +122,8 @@
         self.assertEqual(12.0, control_bytes(parse_metrics(text)))
         self.assertIsNone(control_bytes(parse_metrics("other 1\n")))
 
-    def test_unready_router_is_an_error_that_says_what_it_lacks(self):
-        """Guards against load on a fleet that is not ready."""
+    def test_error_of_an_unready_router_names_the_reason(self):
+        """Guards against sending load to a fleet that is not ready."""
 
         async def unready(request):
             return web.json_response({"lacking": ["catalog"]}, status=503)
@@ -146,8 +146,8 @@
 
 
 class ProcessTest(testtools.TestCase):
-    def test_end_kills_a_stopped_process(self):
-        """Guards against router processes that outlive a measurement."""
+    def test_end_kills_a_process_stopped_by_a_signal(self):
+        """Guards against router processes that keep running after a measurement."""
 
         async def main(directory):
             [settings] = router_settings(PATITSA, 1, "http://127.0.0.1:1")
