--- a/borageworks_emulator/tests/test_demo.py
+++ b/borageworks_emulator/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""Test of the demo with real routers in this process."""
+"""Test of the demo command, with real routers in this process."""
 
 import orjson
 import testtools
@@ -8,8 +8,8 @@
 
 
 class DemoTest(testtools.TestCase):
-    def test_demo_answers_every_organisation(self):
-        """Guards against a demo that stops working as the parts change."""
+    def test_demo_serves_every_organisation(self):
+        """Guards against a demo that breaks when the modules it uses change."""
         outcome = CliRunner().invoke(demo, ["--duration", "2", "--json", "-"])
         self.assertEqual(0, outcome.exit_code, outcome.output)
         document = orjson.loads(outcome.stdout)
--- a/borageworks_emulator/tests/test_measure.py
+++ b/borageworks_emulator/tests/test_measure.py
@@ -31,14 +31,14 @@
 
 class MeasureTest(testtools.TestCase):
     def test_list_names_every_scenario(self):
-        """Guards against a scenario that nobody can find."""
+        """Guards against a scenario that `--list` omits."""
         outcome = _invoke(["--list"])
         self.assertEqual(0, outcome.exit_code, outcome.output)
         for name in SCENARIOS:
             self.assertIn(name, outcome.stdout)
 
-    def test_json_on_standard_output_is_all_that_is_there(self):
-        """Guards against a table mixed into JSON that a program reads."""
+    def test_json_is_the_only_text_on_standard_output(self):
+        """Guards against a table in output that is parsed as JSON."""
         outcome = _invoke(
             [
                 "steady",
@@ -59,14 +59,14 @@
             tuple(document[name] for name in ("seed", "routers", "duration_s")),
         )
 
-    def test_missed_target_exits_with_1_and_is_named(self):
-        """Guards against a miss that a script takes for success."""
+    def test_missed_target_is_named_and_exits_with_1(self):
+        """Guards against a missed target that exits with status 0."""
         outcome = _invoke(["steady"], passed=False)
         self.assertEqual(1, outcome.exit_code)
         self.assertIn("MISSED  doubled", outcome.stdout)
 
-    def test_repeat_runs_one_seed_after_the_other(self):
-        """Guards against a median over one seed."""
+    def test_repeat_runs_consecutive_seeds(self):
+        """Guards against a median over runs with the same seed."""
         outcome = _invoke(["steady", "--repeat", "3", "--json", "-"])
         self.assertEqual(0, outcome.exit_code, outcome.output)
         seeds = [document["seed"] for document in orjson.loads(outcome.stdout)]
--- a/borageworks_emulator/tests/test_report.py
+++ b/borageworks_emulator/tests/test_report.py
@@ -1,4 +1,4 @@
-"""Tests of the result of a scenario."""
+"""Tests of the result and the excused calls of a scenario."""
 
 import orjson
 import testtools
@@ -6,7 +6,7 @@
 from borageworks_emulator.analysis import CallRecord, Excuse, Measures, Verdict, analyse
 from borageworks_emulator.report import Check, Result
 
-KEYS = (
+EXPECTED_KEYS = (
     "answers",
     "incomplete",
     "doubled",
@@ -32,28 +32,28 @@
         return result
 
     def test_json_has_all_keys_for_fleet_and_baseline(self):
-        """Guards against readers of the JSON that miss a measure."""
+        """Guards against measures that are missing from the JSON."""
         document = orjson.loads(self.result().json())
-        self.assertEqual(set(), set(KEYS) - set(document))
+        self.assertEqual(set(), set(EXPECTED_KEYS) - set(document))
         self.assertEqual(4, document["central"]["answers"])
         self.assertEqual({"p": 1.5}, document["fairness_gap"])
 
-    def test_one_missed_target_fails_and_is_named(self):
-        """Guards against a miss that neither the exit code nor the table shows."""
+    def test_a_missed_target_fails_the_result_and_is_named(self):
+        """Guards against a missed target that exit code and table do not show."""
         met, missed = Check("x", 1, 2, True), Check("doubled", 1, 0, False)
         self.assertTrue(self.result(met).passed)
         result = self.result(met, missed)
         self.assertFalse(result.passed)
         self.assertIn("MISSED  doubled", result.table({"a": 1.0}))
 
-    def test_unreported_figures_are_not_zero(self):
-        """Guards against an unknown control traffic that looks free."""
+    def test_unreported_values_are_unknown(self):
+        """Guards against unreported control traffic that is shown as zero."""
         self.assertIn("unknown", self.result().table({"a": 1.0}))
 
 
 class ExcuseTest(testtools.TestCase):
-    def test_only_calls_broken_by_the_killed_router_are_excused(self):
-        """Guards against an excuse that hides faults of other routers."""
+    def test_only_calls_that_the_killed_router_broke_are_excused(self):
+        """Guards against an excuse that hides failures of other routers."""
         calls = [
             CallRecord("1", "a", "p", "", 0.0, end=5.0, target=1),
             CallRecord("2", "a", "p", "", 0.0, end=5.0, target=2),
--- a/borageworks_emulator/tests/test_router.py
+++ b/borageworks_emulator/tests/test_router.py
@@ -1,4 +1,4 @@
-"""Tests of a whole router against emulated endpoints and a real model client."""
+"""Tests of complete routers with emulated endpoints and a real model client."""
 
 import asyncio
 import hashlib
@@ -51,13 +51,13 @@
         self.store = EmulatedStore()
         await self.store.start()
         self.engine = EmulatedEngine("engine-0", "models", EngineProfile())
-        self.desk = EmulatedService("desk-0", "desks", ServiceProfile())
-        for endpoint in (self.engine, self.desk):
+        self.plain_service = EmulatedService("desk-0", "desks", ServiceProfile())
+        for endpoint in (self.engine, self.plain_service):
             await endpoint.start()
         self.settings = router_settings(
             PATITSA, 2, self.store.url, {"shutdown": {"balancer_lag_s": 0.2}}
         )
-        self.routers = [Router(each) for each in self.settings]
+        self.routers = [Router(settings) for settings in self.settings]
         for router in self.routers:
             await router.start()
         store = EtcdStore(self.settings[0].store, Metrics())
@@ -73,8 +73,8 @@
         await self.session.close()
         for router in self.routers:
             await router.stop()
-        for each in (self.engine, self.desk, self.store):
-            await each.stop()
+        for component in (self.engine, self.plain_service, self.store):
+            await component.stop()
 
     @property
     def urls(self):
@@ -91,7 +91,7 @@
                 Service(id="guide", pool="models"),
                 Service(id="booking", pool="desks", idempotent=False),
                 endpoint_object(self.engine, "models"),
-                endpoint_object(self.desk, "desks"),
+                endpoint_object(self.plain_service, "desks"),
             ),
         )
 
@@ -100,8 +100,8 @@
             while True:
                 async with self.session.get(
                     f"{url}/v1/models", headers=HEADERS
-                ) as answer:
-                    if answer.status == 200:
+                ) as response:
+                    if response.status == 200:
                         return
                 await asyncio.sleep(0.05)
 
@@ -110,8 +110,8 @@
             f"{url}/services/booking/orders",
             data=body,
             headers={**HEADERS, "Idempotency-Key": key},
-        ) as answer:
-            return answer.status, await answer.read(), answer.headers
+        ) as response:
+            return response.status, await response.read(), response.headers
 
     def client(self, url):
         return openai.AsyncOpenAI(base_url=f"{url}/v1", api_key=KEY, max_retries=0)
@@ -119,14 +119,14 @@
 
 class RouterTest(testtools.TestCase):
     def run_with(self, scenario):
-        async def wrapped():
+        async def run():
             async with Deployment() as deployment:
                 await scenario(deployment)
 
-        asyncio.run(wrapped())
+        asyncio.run(run())
 
-    def test_a_model_client_gets_whole_answers(self):
-        """Guards against forms that model clients do not accept."""
+    def test_a_model_client_gets_complete_responses(self):
+        """Guards against response formats that model clients do not accept."""
 
         async def scenario(deployment):
             messages = [{"role": "user", "content": "how do I build a duck house"}]
@@ -136,30 +136,30 @@
                 self.assertEqual(["guide"], models)
                 body = {"model": "guide", "messages": messages, "max_tokens": 12}
                 expected = expected_content(body)
-                whole = await client.chat.completions.create(**body)
-                self.assertEqual(expected, whole.choices[0].message.content)
+                completion = await client.chat.completions.create(**body)
+                self.assertEqual(expected, completion.choices[0].message.content)
                 stream = await client.chat.completions.create(**body, stream=True)
-                parts = [
+                contents = [
                     choice.delta.content or ""
                     async for chunk in stream
                     for choice in chunk.choices
                 ]
-                self.assertEqual(expected, "".join(parts))
-                error = await self.refused(client, messages)
+                self.assertEqual(expected, "".join(contents))
+                error = await self.request_unknown_model(client, messages)
                 self.assertEqual(404, error.status_code)
                 await client.close()
 
         self.run_with(scenario)
 
-    async def refused(self, client, messages):
+    async def request_unknown_model(self, client, messages):
         try:
             await client.chat.completions.create(model="none", messages=messages)
         except openai.APIStatusError as error:
             return error
         return None
 
-    def test_a_resend_at_another_router_gets_the_first_answer(self):
-        """Guards against a booking that runs twice, and one whose answer is lost."""
+    def test_a_resend_to_another_router_gets_the_first_response(self):
+        """Guards against bookings that run twice, and against lost responses."""
 
         async def scenario(deployment):
             first, second = deployment.urls
@@ -167,18 +167,20 @@
             status, body, _ = await deployment.book(first, key)
             self.assertEqual(200, status)
             for url in (second, first):
-                again, repeated, headers = await deployment.book(url, key)
-                self.assertEqual((200, body), (again, repeated))
+                repeated_status, repeated_body, headers = await deployment.book(
+                    url, key
+                )
+                self.assertEqual((200, body), (repeated_status, repeated_body))
                 self.assertEqual("true", headers["Idempotent-Replayed"])
             status, body, _ = await deployment.book(second, key, b"two coops")
             self.assertEqual(422, status)
             self.assertIn(b"idempotency_key_reused", body)
-            self.assertEqual(1, len(deployment.desk.recording.runs))
+            self.assertEqual(1, len(deployment.plain_service.recording.runs))
 
         self.run_with(scenario)
 
-    def test_a_booking_outlives_a_caller_that_leaves(self):
-        """Guards against a booking that is cut off, or lost, with its connection."""
+    def test_a_booking_continues_after_its_caller_disconnects(self):
+        """Guards against bookings that are cancelled or lost with their connection."""
 
         async def scenario(deployment):
             first, second = deployment.urls
@@ -187,22 +189,22 @@
             booking = asyncio.create_task(deployment.book(first, key, body))
             await asyncio.sleep(0.3)
             booking.cancel()
-            seen = set()
+            statuses = set()
             async with asyncio.timeout(20):
                 while True:
                     status, text, _ = await deployment.book(second, key, body)
-                    seen.add(status)
+                    statuses.add(status)
                     if status == 200:
                         break
                     self.assertIn(b"request_in_progress", text)
                     await asyncio.sleep(0.1)
-            self.assertEqual({409, 200}, seen)
-            self.assertEqual(1, len(deployment.desk.recording.runs))
+            self.assertEqual({409, 200}, statuses)
+            self.assertEqual(1, len(deployment.plain_service.recording.runs))
 
         self.run_with(scenario)
 
-    def test_bad_keys_and_a_lost_store_run_nothing(self):
-        """Guards against a 'not run' that is not true, and unclaimed runs."""
+    def test_invalid_keys_and_an_unavailable_store_run_nothing(self):
+        """Guards against a false 'not run' and against runs without a claim."""
 
         async def scenario(deployment):
             url = deployment.urls[0]
@@ -223,12 +225,12 @@
             self.assertIn(b"claim_unavailable", body)
             self.assertIn(b'"not_run"', body)
             deployment.store.unavailable = False
-            self.assertEqual([], deployment.desk.recording.runs)
+            self.assertEqual([], deployment.plain_service.recording.runs)
 
         self.run_with(scenario)
 
     def test_shutdown_finishes_running_streams(self):
-        """Guards against a graceful shutdown that cuts off a request."""
+        """Guards against a graceful shutdown that ends a stream early."""
 
         async def scenario(deployment):
             client = deployment.client(deployment.urls[0])
@@ -238,10 +240,10 @@
                 "max_tokens": 60,
             }
             stream = await client.chat.completions.create(**body, stream=True)
-            chunks = aiter(stream)
-            received = [await anext(chunks)]
+            stream_chunks = aiter(stream)
+            received = [await anext(stream_chunks)]
             stop = asyncio.create_task(deployment.routers[0].stop())
-            received += [chunk async for chunk in chunks]
+            received += [chunk async for chunk in stream_chunks]
             text = "".join(
                 choice.delta.content or ""
                 for chunk in received
--- a/borageworks_emulator/tests/test_scenarios.py
+++ b/borageworks_emulator/tests/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Tests of the scenarios' loads, faults and targets without router processes."""
+"""Tests of loads, faults and targets of scenarios, without router processes."""
 
 import asyncio
 import time
@@ -16,11 +16,11 @@
 from borageworks_emulator.scenarios import SCENARIOS
 from borageworks_emulator.topology import PATITSA, TOPOLOGIES
 
-ROUTERS = 9
+ROUTER_COUNT = 9
 
 
 def _result(name, measures, central):
-    result = Result(name, PATITSA.name, 1, ROUTERS, 10.0, measures, central)
+    result = Result(name, PATITSA.name, 1, ROUTER_COUNT, 10.0, measures, central)
     result.notes = {
         "idle_store_calls_per_second": 0.0,
         "work_before": 1,
@@ -40,7 +40,7 @@
     return measures
 
 
-def _missed(name, measures, central):
+def _missed_targets(name, measures, central):
     checks = common_checks(
         SCENARIOS[name], Options(PATITSA), _result(name, measures, central)
     )
@@ -48,30 +48,32 @@
 
 
 class CommonTargetTest(testtools.TestCase):
-    def test_equal_to_the_baseline_meets_all(self):
-        """Guards against targets that no fleet can meet."""
+    def test_result_equal_to_the_baseline_meets_all_targets(self):
+        """Guards against targets that not even the baseline meets."""
         self.assertEqual(
-            [], _missed("flood", _measures(100.0, 1.0), _measures(100.0, 1.0))
+            [], _missed_targets("flood", _measures(100.0, 1.0), _measures(100.0, 1.0))
         )
 
-    def test_gap_and_utilisation_are_held_against_the_baseline(self):
-        """Guards against a fleet that is less fair or idle without a miss."""
-        missed = _missed("flood", _measures(151.0, 0.97), _measures(100.0, 1.0))
+    def test_gap_and_utilisation_are_compared_with_the_baseline(self):
+        """Guards against an unfair or underused fleet that meets all targets."""
+        missed = _missed_targets("flood", _measures(151.0, 0.97), _measures(100.0, 1.0))
         self.assertEqual(["fairness gap of models", "utilisation of models"], missed)
 
     def test_gap_above_the_bound_is_missed_even_if_the_baseline_is_worse(self):
-        """Guards against a gap excused by a bad baseline."""
-        missed = _missed("flood", _measures(1e6, 1.0), _measures(1e6, 1.0))
+        """Guards against a large gap that passes because the baseline's is large."""
+        missed = _missed_targets("flood", _measures(1e6, 1.0), _measures(1e6, 1.0))
         self.assertEqual(["fairness gap of models, bound"], missed)
 
-    def test_each_zero_target_is_checked(self):
-        """Guards against a broken promise that the exit code does not show."""
+    def test_each_count_with_target_zero_is_checked(self):
+        """Guards against broken guarantees that the exit code does not show."""
         for name in ("wrong", "lost", "incomplete", "doubled", "false_not_run", "cut"):
             measures = _measures(1.0, 1.0, **{name: 1})
-            self.assertEqual([name], _missed("steady", measures, _measures(1.0, 1.0)))
+            self.assertEqual(
+                [name], _missed_targets("steady", measures, _measures(1.0, 1.0))
+            )
 
-    def test_failure_of_the_run_is_a_miss(self):
-        """Guards against a fault that was not applied and so broke nothing."""
+    def test_failure_of_the_run_misses_a_target(self):
+        """Guards against a run that passes because its fault was not applied."""
         result = _result("steady", _measures(1.0, 1.0), _measures(1.0, 1.0))
         result.failures.append("router-1 ended")
         checks = common_checks(SCENARIOS["steady"], Options(PATITSA), result)
@@ -89,12 +91,12 @@
         self.assertEqual((1.3, False), (check.measured, check.passed))
         self.assertEqual([], median_checks(SCENARIOS["steady"], results))
 
-    def test_only_named_refusals_are_allowed(self):
-        """Guards against refusals under load that pass as normal."""
+    def test_only_refusals_listed_by_the_scenario_are_allowed(self):
+        """Guards against unexpected refusals under load that pass."""
         measures = _measures(1.0, 1.0, refusals={"claim_unavailable": 3})
         central = _measures(1.0, 1.0)
-        self.assertEqual([], _missed("store-outage", measures, central))
-        self.assertEqual(1, len(_missed("steady", measures, central)))
+        self.assertEqual([], _missed_targets("store-outage", measures, central))
+        self.assertEqual(1, len(_missed_targets("steady", measures, central)))
 
 
 class ScenarioTargetTest(testtools.TestCase):
@@ -102,8 +104,8 @@
         load = LoadResult(0.0, 10.0, list(calls))
         return [c.name for c in SCENARIOS[name].checks(result, load) if not c.passed]
 
-    def test_wait_of_the_smallest_under_a_flood(self):
-        """Guards against a starved small organisation."""
+    def test_wait_of_the_smallest_organisation_under_a_flood(self):
+        """Guards against starvation of a small organisation."""
         measures, central = _measures(1.0, 1.0), _measures(1.0, 1.0)
         self.assertEqual([], self.checks("flood", _result("flood", measures, central)))
         measures.wait[PATITSA.smallest] = 0.151
@@ -111,16 +113,16 @@
             1, len(self.checks("flood", _result("flood", measures, central)))
         )
 
-    def test_unreported_control_traffic_is_missed(self):
-        """Guards against a router without the counter that meets the target."""
+    def test_unreported_control_traffic_misses_its_target(self):
+        """Guards against routers that meet a target by not reporting its counter."""
         result = _result("steady", _measures(1.0, 1.0), None)
         self.assertEqual(2, len(self.checks("steady", result)))
         result.control_bytes_per_second = targets.CONTROL_BYTES_PER_S
         result.idle_cpu_percent = targets.CONTROL_CPU_PERCENT
         self.assertEqual([], self.checks("steady", result))
 
-    def test_store_refusal_must_be_not_run_and_only_for_keys(self):
-        """Guards against an outage that blocks or misleads callers."""
+    def test_store_outage_refuses_only_requests_with_keys_as_not_run(self):
+        """Guards against outages that refuse too much or misreport whether work ran."""
         calls = [
             CallRecord("1", "a", "p", "k", 9.5, verdict=Verdict.ANSWERED),
             CallRecord("2", "a", "p", "k", 4.0, code="claim_unavailable"),
@@ -139,26 +141,26 @@
 
 
 class LoadTest(testtools.TestCase):
-    def test_every_load_repeats_and_fits_every_topology(self):
-        """Guards against scenarios whose runs cannot be compared."""
+    def test_every_load_is_reproducible_and_fits_every_topology(self):
+        """Guards against scenarios whose runs are not comparable."""
         for topology in TOPOLOGIES.values():
             for scenario in SCENARIOS.values():
-                flows = scenario.flows(topology, ROUTERS)
-                self.assertEqual(flows, scenario.flows(topology, ROUTERS))
+                flows = scenario.flows(topology, ROUTER_COUNT)
+                self.assertEqual(flows, scenario.flows(topology, ROUTER_COUNT))
                 for flow in flows:
                     self.assertIn(flow.organisation, topology.shares)
                     self.assertEqual(topology.service_pools[flow.service], flow.pool)
                 tags = [p.tag for p in Trace(flows, 1, 2.0).open_loop]
                 self.assertEqual(len(tags), len(set(tags)))
 
-    def test_everyday_load_has_the_rate_of_the_target(self):
-        """Guards against a control figure measured at a lower rate."""
-        flows = SCENARIOS["steady"].flows(PATITSA, ROUTERS)
+    def test_steady_load_has_the_rate_of_the_target(self):
+        """Guards against control traffic that is measured at a lower request rate."""
+        flows = SCENARIOS["steady"].flows(PATITSA, ROUTER_COUNT)
         rate = sum(flow.rate for flow in flows)
-        self.assertAlmostEqual(targets.RATE_PER_ROUTER * ROUTERS, rate)
+        self.assertAlmostEqual(targets.RATE_PER_ROUTER * ROUTER_COUNT, rate)
 
 
-class _Router:
+class _FakeRouter:
     alive = True
 
     def __init__(self):
@@ -181,7 +183,7 @@
     def run_faults(self, name, duration=0.2):
         async def main():
             fleet: Any = SimpleNamespace(
-                routers=[_Router() for _ in range(3)], session=None
+                routers=[_FakeRouter() for _ in range(3)], session=None
             )
             store: Any = SimpleNamespace(
                 unavailable=False, faults=SimpleNamespace(lost_replies=0)
@@ -199,15 +201,15 @@
 
         return asyncio.run(main())
 
-    def test_killed_router_returns_and_excuses_only_itself(self):
-        """Guards against a fault that leaves the fleet smaller than announced."""
+    def test_killed_router_restarts_and_only_its_calls_are_excused(self):
+        """Guards against a fault that leaves the fleet with fewer routers."""
         stage = self.run_faults("restart")
         self.assertEqual(["SIGKILL", "start", "ready"], stage.fleet.routers[1].signals)
         self.assertEqual([1], [excuse.target for excuse in stage.excused])
         self.assertEqual(Counter(router_killed=1), stage.applied)
 
-    def test_switched_faults_are_off_at_the_end(self):
-        """Guards against an outage that reaches into the drain of the load."""
+    def test_temporary_faults_are_off_at_the_end(self):
+        """Guards against faults that last into the drain of the load."""
         self.assertFalse(self.run_faults("store-outage").store.unavailable)
         self.assertEqual(0, self.run_faults("lost-replies").store.faults.lost_replies)
         slow = self.run_faults("slow-engine")
--- a/borageworks_emulator/tests/test_slopes_catalog.py
+++ b/borageworks_emulator/tests/test_slopes_catalog.py
@@ -1,4 +1,4 @@
-"""Test of the configuration measurement at a small size."""
+"""Test of the configuration cost measurement at small sizes."""
 
 import testtools
 
@@ -6,8 +6,8 @@
 
 
 class MeasureCatalogTest(testtools.TestCase):
-    def test_sizes_grow_with_the_configuration(self):
-        """Guards against a measurement that leaves out the objects."""
+    def test_measured_sizes_grow_with_the_configuration(self):
+        """Guards against a measurement that does not include the objects."""
         small, large = measure_catalog((100, 400))
         self.assertEqual((100 + 42 + 15, 400 + 42 + 60), (small.objects, large.objects))
         self.assertGreater(large.full_bytes, 2 * small.full_bytes)
--- a/borageworks_emulator/tests/test_slopes_membership.py
+++ b/borageworks_emulator/tests/test_slopes_membership.py
@@ -6,12 +6,12 @@
 
 
 class MeasureSizeTests(TestCase):
-    def test_small_fleet(self):
-        """Guards against figures of a fleet that failed or was not measured."""
+    def test_small_fleet_detects_every_death(self):
+        """Guards against results of a fleet that failed or was not measured."""
         slope = measure_size(18, domains=3, deaths=4)
         self.assertEqual((18, 3, 0), (slope.members, slope.domains, slope.false_deaths))
         self.assertEqual(4, len(slope.detection_intervals))
-        # Timeout and suspicion are 2.6 intervals of simulated time.
+        # Probe timeout and suspicion take 2.6 intervals of simulated time.
         self.assertTrue(all(2.6 <= t < 9 for t in slope.detection_intervals))
         for first, domain, everywhere in zip(
             slope.detection_intervals,
--- a/borageworks_emulator/tests/waiting.py
+++ b/borageworks_emulator/tests/waiting.py
@@ -1,15 +1,15 @@
-"""Waiting for a condition in tests."""
+"""Polling for a condition in tests."""
 
 import asyncio
 
-POLLS = 5000
-POLL_S = 0.002
+MAX_POLLS = 5000
+POLL_INTERVAL_S = 0.002
 
 
 async def until(condition):
-    """Return once `condition()` holds; fail after ten seconds."""
-    for _ in range(POLLS):
+    """Return once `condition()` is true; fail after ten seconds."""
+    for _ in range(MAX_POLLS):
         if condition():
             return
-        await asyncio.sleep(POLL_S)
-    raise AssertionError("the condition did not become true")
+        await asyncio.sleep(POLL_INTERVAL_S)
+    raise AssertionError("the condition did not become true in time")
