--- a/borageworks/router/entry.py
+++ b/borageworks/router/entry.py
@@ -31,9 +31,9 @@
     RetriesExhaustedError,
 )
 from borageworks.metrics import Metrics
-from borageworks.router.alone import WaitingAlone
-from borageworks.router.held import HeldGrant
-from borageworks.router.slots import Slots
+from borageworks.router.entry_slots import Slots
+from borageworks.router.granted_slot import HeldGrant
+from borageworks.router.isolated_request import WaitingAlone
 from borageworks.routing.budget import RetryBudget
 from borageworks.routing.demand import DemandPlan, SendDemand
 from borageworks.routing.queue import EntryQueue
--- a/borageworks/router/slots.py
+++ b/borageworks/router/entry_slots.py
@@ -8,8 +8,8 @@
 from borageworks.endpoints.exchange import Exchange
 from borageworks.endpoints.progress import Progress
 from borageworks.metrics import Metrics
-from borageworks.router.held import HeldGrant
-from borageworks.router.standing import StandingSlots
+from borageworks.router.granted_slot import HeldGrant
+from borageworks.router.standing_slots import StandingSlots
 from borageworks.router.usage import Usage
 from borageworks.timers import Timers
 from borageworks.wire.messages import (
--- a/borageworks/router/alone.py
+++ b/borageworks/router/isolated_request.py
@@ -5,7 +5,7 @@
 import asyncio
 from dataclasses import dataclass
 
-from borageworks.router.held import HeldGrant
+from borageworks.router.granted_slot import HeldGrant
 from borageworks.routing.waiting import WaitingRequest
 
 
--- a/borageworks/router/owner.py
+++ b/borageworks/router/owner.py
@@ -17,8 +17,8 @@
 from borageworks.metrics import Metrics
 from borageworks.router.grants import GivenGrant, GrantTable
 from borageworks.router.isolation import IsolationQueue
-from borageworks.router.owned import BrokenRun, OwnedEndpoint
-from borageworks.router.pool import OwnedPool
+from borageworks.router.owned_endpoint import BrokenRun, OwnedEndpoint
+from borageworks.router.owned_pool import OwnedPool
 from borageworks.timers import Subscription, Timers
 from borageworks.wire.messages import (
     AloneDemand,
--- a/borageworks/router/router.py
+++ b/borageworks/router/router.py
@@ -25,12 +25,12 @@
 from borageworks.membership.gossip import Gossip
 from borageworks.membership.member import Member
 from borageworks.metrics import Metrics
+from borageworks.router.at_most_once import Protected
 from borageworks.router.entry import Entry
-from borageworks.router.exchange import ServiceExchange
 from borageworks.router.grants import GrantTable
 from borageworks.router.owner import Owner
 from borageworks.router.ownership import Ownership, derive
-from borageworks.router.protected import Protected
+from borageworks.router.service_exchange import ServiceExchange
 from borageworks.store.etcd import EtcdStore
 from borageworks.timers import Subscription, Timers
 from borageworks.wire.links import PeerLinks
--- a/borageworks/router/exchange.py
+++ b/borageworks/router/service_exchange.py
@@ -12,8 +12,8 @@
 from borageworks.fair.drift import DriftCorrection
 from borageworks.membership.member import Member
 from borageworks.metrics import Metrics
+from borageworks.router.owned_pool import OwnedPool
 from borageworks.router.owner import Owner
-from borageworks.router.pool import OwnedPool
 from borageworks.routing.rendezvous import rendezvous
 from borageworks.timers import Subscription, Timers
 from borageworks.wire.messages import Message, ServiceError, ServiceReport
--- a/borageworks/router/standing.py
+++ b/borageworks/router/standing_slots.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from borageworks.router.held import HeldGrant
+from borageworks.router.granted_slot import HeldGrant
 
 # An idle slot goes back after this time, so that quiet entries strand no capacity.
 IDLE_S = 1.0
