--- a/borageworks/router/__init__.py
+++ b/borageworks/router/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon that joins the parts on one event loop."""
+"""Router instances: entry side, owner side and the components between them."""
--- a/borageworks/router/at_most_once.py
+++ b/borageworks/router/at_most_once.py
@@ -1,4 +1,4 @@
-"""Non-idempotent requests: at most one run for each idempotency key."""
+"""Non-idempotent requests: at most one run per idempotency key."""
 
 from __future__ import annotations
 
@@ -40,28 +40,28 @@
 
 Send = Callable[[str, Message], None]
 
-# The holder answers from memory; a longer wait means that it cannot be reached.
+# The holder replies from memory; one that takes longer is treated as unreachable.
 QUERY_TIMEOUT_S = 2.0
 REPLAYED_HEADER = "Idempotent-Replayed"
-# A frame between instances holds a megabyte.
-LARGEST_HELD_BYTES = 900_000
+# Leaves room for the other fields in a message frame of 1 MiB.
+MAX_RETAINED_RESPONSE_BYTES = 900_000
 
 
-class Protected:
-    """Runs claimed requests and answers resends.
+class AtMostOnceRunner:
+    """Runs claimed requests and responds to resends.
 
     Parameters
     ----------
     settings
-        Memory for retained answers.
+        Memory limit for retained responses.
     entry
-        Runs requests on granted slots.
+        Entry side that runs requests on granted slots.
     claims
-        Records which requests run.
+        Service that records which requests run.
     metrics
-        Counters of the process.
+        Metrics of the process.
     send
-        Sends a message to an instance, also to this one.
+        Sends a message to any instance, including this one.
     """
 
     def __init__(
@@ -76,61 +76,62 @@
         self._claims = claims
         self._metrics = metrics
         self._send = send
-        self._answers = HeldAnswers(settings.held_answer_bytes)
+        self._responses = HeldAnswers(settings.held_answer_bytes)
         self._sequence = itertools.count(1)
         self._queries: dict[int, asyncio.Future[HeldAnswerReply]] = {}
-        self._runs: set[asyncio.Task[None]] = set()
+        self._run_tasks: set[asyncio.Task[None]] = set()
 
     async def run(self, call: Call, sink: Sink) -> None:
-        """Run a call once, or write the answer of its first run.
+        """Run a call once, or write the retained response of its first run.
 
         Raises
         ------
         RefusalError
-            If it was not run, or its outcome or answer is not known here.
+            If it was not run, or if its outcome is unknown or its response is no longer
+            retained.
         """
         if call.idempotency_key is None:
             raise IdempotencyKeyMissingError(
-                f"service {call.service.id!r} needs an Idempotency-Key"
+                f"service {call.service.id!r} requires an Idempotency-Key header"
             )
         key = IdempotencyKey.parse(call.idempotency_key)
         self._entry.check_admission(call)
         reply = await self._claims.claim(
-            call.organisation, key, body_hash(_identity(call))
+            call.organisation, key, body_hash(_identity_bytes(call))
         )
         match reply.outcome:
             case ClaimOutcome.CLAIMED:
                 await self._run_claimed(call, sink, key)
             case ClaimOutcome.DUPLICATE:
-                await self._answer_resend(call, sink, key, reply)
+                await self._respond_to_resend(call, sink, key, reply)
             case ClaimOutcome.BODY_MISMATCH:
                 raise IdempotencyKeyReusedError(
-                    "the key was used with another method, path or body"
+                    "the idempotency key was used with another method, path or body"
                 )
             case ClaimOutcome.EXPIRED:
                 raise IdempotencyKeyExpiredError(
-                    "the key was issued too long ago or in the future"
+                    "the idempotency key was issued too long ago or in the future"
                 )
             case ClaimOutcome.UNAVAILABLE:
                 raise ClaimUnavailableError(
-                    "the platform store cannot record the request", retry_after=1.0
+                    "the platform store cannot record the claim", retry_after=1.0
                 )
 
     def receive(self, sender: str, message: HeldAnswerQuery | HeldAnswerReply) -> None:
-        """Handle a query for a retained answer, or the reply to one."""
+        """Handle a query for a retained response, or the reply to one."""
         match message:
             case HeldAnswerQuery():
-                found, answer = self._answers.find(message.key_hash)
-                if answer is None:
-                    answer = RetainedAnswer(0, "", b"")
+                found, response = self._responses.find(message.key_hash)
+                if response is None:
+                    response = RetainedAnswer(0, "", b"")
                 self._send(
                     sender,
                     HeldAnswerReply(
                         message.request_id,
                         found,
-                        answer.status,
-                        answer.content_type,
-                        answer.body,
+                        response.status,
+                        response.content_type,
+                        response.body,
                     ),
                 )
             case HeldAnswerReply():
@@ -139,18 +140,18 @@
                     future.set_result(message)
 
     async def _run_claimed(self, call: Call, sink: Sink, key: IdempotencyKey) -> None:
-        """Run in a task of its own, which ends even if the caller leaves."""
+        """Run in a separate task, which completes even if the caller disconnects."""
         run = asyncio.get_running_loop().create_task(self._execute(call, sink, key))
-        self._runs.add(run)
-        run.add_done_callback(self._runs.discard)
-        # A refusal that no caller waits for any more was recorded all the same.
+        self._run_tasks.add(run)
+        run.add_done_callback(self._run_tasks.discard)
+        # Retrieves the exception if the caller has gone; its claim is already updated.
         run.add_done_callback(lambda task: task.cancelled() or task.exception())
         await asyncio.shield(run)
 
     async def _execute(self, call: Call, sink: Sink, key: IdempotencyKey) -> None:
         key_hash = key.hash(call.organisation)
-        self._answers.start(key_hash)
-        tee = TeeSink(sink, LARGEST_HELD_BYTES)
+        self._responses.start(key_hash)
+        tee = TeeSink(sink, MAX_RETAINED_RESPONSE_BYTES)
         try:
             await self._entry.run(call, tee)
         except RefusalError as refusal:
@@ -158,40 +159,40 @@
                 await self._claims.release(call.organisation, key)
             else:
                 self._claims.finish(call.organisation, key, ClaimState.UNKNOWN)
-            self._answers.discard(key_hash)
+            self._responses.discard(key_hash)
             raise
         except BaseException:
             self._claims.finish(call.organisation, key, ClaimState.UNKNOWN)
-            self._answers.discard(key_hash)
+            self._responses.discard(key_hash)
             raise
         self._claims.finish(call.organisation, key, ClaimState.DONE)
         if tee.body is None:
-            self._answers.discard(key_hash)
+            self._responses.discard(key_hash)
         else:
-            self._answers.hold(
+            self._responses.hold(
                 key_hash, RetainedAnswer(tee.status, tee.content_type, tee.body)
             )
         if tee.caller_error is not None:
             raise tee.caller_error
 
-    async def _answer_resend(
+    async def _respond_to_resend(
         self, call: Call, sink: Sink, key: IdempotencyKey, reply: ClaimReply
     ) -> None:
         self._metrics.count("resends", reply.state.name.lower())
         if reply.state is ClaimState.RELEASED:
             raise IdempotencyKeyReleasedError(
-                "the first request with this key did not run; send it with a new key"
+                "the first request with this key did not run; resend it with a new key"
             )
         holder = self._claims.instance_of(reply)
         if holder is not None:
-            held = await self._query(holder, key.hash(call.organisation))
-            match held.found:
+            holder_reply = await self._query_holder(holder, key.hash(call.organisation))
+            match holder_reply.found:
                 case HeldAnswer.HELD:
-                    await _write(sink, held)
+                    await _write_retained(sink, holder_reply)
                     return
                 case HeldAnswer.RUNNING:
                     raise RequestInProgressError(
-                        "the first request with this key waits or runs",
+                        "the first request with this key is still queued or running",
                         ran=Ran.UNKNOWN,
                         retry_after=1.0,
                     )
@@ -199,15 +200,15 @@
                     pass
         if reply.state is ClaimState.DONE:
             raise AnswerNotHeldError(
-                "the first request with this key ran; its answer is no longer held",
+                "the first request with this key ran; its response is not retained",
                 ran=Ran.RAN,
             )
         raise OutcomeUnknownError(
             "the first request with this key may have run; its instance was lost or "
-            "did not learn the outcome"
+            "could not determine the outcome"
         )
 
-    async def _query(self, holder: str, key_hash: bytes) -> HeldAnswerReply:
+    async def _query_holder(self, holder: str, key_hash: bytes) -> HeldAnswerReply:
         request_id = next(self._sequence)
         future: asyncio.Future[HeldAnswerReply] = (
             asyncio.get_running_loop().create_future()
@@ -223,14 +224,14 @@
             del self._queries[request_id]
 
 
-async def _write(sink: Sink, held: HeldAnswerReply) -> None:
+async def _write_retained(sink: Sink, holder_reply: HeldAnswerReply) -> None:
     headers = [(REPLAYED_HEADER, "true")]
-    if held.content_type:
-        headers.append(("Content-Type", held.content_type))
-    await sink.start(held.status, headers)
-    await sink.write(held.body)
+    if holder_reply.content_type:
+        headers.append(("Content-Type", holder_reply.content_type))
+    await sink.start(holder_reply.status, headers)
+    await sink.write(holder_reply.body)
     await sink.finish()
 
 
-def _identity(call: Call) -> bytes:
+def _identity_bytes(call: Call) -> bytes:
     return f"{call.service.id}\0{call.method}\0{call.path}\0".encode() + call.body
--- a/borageworks/router/entry.py
+++ b/borageworks/router/entry.py
@@ -1,4 +1,4 @@
-"""Entry side of a router: keeps callers' requests until a slot is granted."""
+"""Entry side of a router: queues callers' requests until a slot is granted."""
 
 from __future__ import annotations
 
@@ -31,9 +31,9 @@
     RetriesExhaustedError,
 )
 from borageworks.metrics import Metrics
-from borageworks.router.entry_slots import Slots
-from borageworks.router.granted_slot import HeldGrant
-from borageworks.router.isolated_request import WaitingAlone
+from borageworks.router.entry_slots import EntrySlots
+from borageworks.router.granted_slot import GrantedSlot
+from borageworks.router.isolated_request import IsolatedRequest
 from borageworks.routing.budget import RetryBudget
 from borageworks.routing.demand import DemandPlan, SendDemand
 from borageworks.routing.queue import EntryQueue
@@ -54,9 +54,9 @@
 
 Send = Callable[[str, Message], None]
 
-REFRESH_S = 1.0
-# Owners tell within this time whether the endpoint crashed, so that a request that
-# crashes endpoints is known before it is tried again.
+REFRESH_INTERVAL_S = 1.0
+# Owners report a crash within this time, so that a request that crashes endpoints is
+# recorded as a suspect before its next attempt.
 CRASH_BACKOFF_S = 0.3
 
 
@@ -66,15 +66,15 @@
     Parameters
     ----------
     settings
-        Queue bounds and retry budgets.
+        Queue limits and retry budgets.
     replica
-        Configuration in force.
+        Current configuration.
     timers, metrics
-        Services of the process.
+        Timers and metrics of the process.
     clients
-        Endpoint client by kind of pool.
+        Endpoint clients by pool kind.
     send
-        Sends a message to an instance, also to this one.
+        Sends a message to any instance, including this one.
     """
 
     def __init__(
@@ -96,10 +96,10 @@
         self._demand = DemandPlan(settings.queue)
         self._budget = RetryBudget(settings.retry)
         self._suspects = CrashSuspects()
-        self._owners: Mapping[str, Sequence[str]] = {}
-        self._alone: dict[int, WaitingAlone] = {}
-        self._granted: dict[int, asyncio.Future[HeldGrant]] = {}
-        self._slots = Slots(timers, metrics, send)
+        self._owners_by_pool: Mapping[str, Sequence[str]] = {}
+        self._isolated: dict[int, IsolatedRequest] = {}
+        self._pending_grants: dict[int, asyncio.Future[GrantedSlot]] = {}
+        self._slots = EntrySlots(timers, metrics, send)
         self._sequence = itertools.count(1)
         self._flush_pending = False
         self._tick_pending: Subscription | None = None
@@ -108,12 +108,12 @@
 
     @property
     def calls(self) -> int:
-        """Number of calls that wait or run."""
+        """Number of queued and running calls."""
         return self._calls
 
     @property
     def waiting(self) -> int:
-        """Number of calls that wait for a slot."""
+        """Number of calls queued for a shared slot."""
         return len(self._queue)
 
     @property
@@ -123,10 +123,10 @@
 
     def start(self) -> None:
         """Subscribe to the timers."""
-        self._subscriptions = [self._timers.every(REFRESH_S, self._refresh)]
+        self._subscriptions = [self._timers.every(REFRESH_INTERVAL_S, self._refresh)]
 
     def drain(self) -> None:
-        """Return all idle standing slots and keep none from now on."""
+        """Return all idle standing slots and retain no more."""
         self._slots.drain()
 
     def stop(self) -> None:
@@ -137,68 +137,70 @@
             self._tick_pending.cancel()
 
     def set_owners(
-        self, owners: Mapping[str, str], by_pool: Mapping[str, Sequence[str]]
+        self, owners: Mapping[str, str], owners_by_pool: Mapping[str, Sequence[str]]
     ) -> None:
-        """Take over a new ownership; tell new owners of the slots in use.
+        """Apply a new ownership; report the slots in use to new owners.
 
         Parameters
         ----------
         owners
             Owner by endpoint.
-        by_pool
+        owners_by_pool
             Owners by pool, nearest first.
         """
-        self._owners = by_pool
-        self._demand.set_owners(by_pool)
+        self._owners_by_pool = owners_by_pool
+        self._demand.set_owners(owners_by_pool)
         self._slots.set_owners(owners)
         self._schedule_flush()
 
     def link_up(self, instance: str) -> None:
-        """Tell an owner of the slots in use, after a link to it came up."""
+        """Report the slots in use to an owner after the link to it came up."""
         self._slots.link_up(instance)
 
     def link_lost(self, instance: str) -> None:
-        """Advertise demand again, after the link to an owner was lost."""
+        """Advertise demand again after the link to an owner was lost."""
         self._demand.remove_owner(instance)
         self._slots.link_lost(instance)
         self._schedule_flush()
 
     def receive_grant(self, sender: str, grant: Grant) -> None:
-        """Give the slot to the organisation's oldest request, or return it."""
+        """Assign the slot to the organisation's oldest request, or return it."""
         now = self._timers.now()
         self._demand.record_grant(sender, grant.pool, grant.organisation)
         request = self._queue.pop(now, grant.pool, grant.organisation)
         if request is None:
             self._metrics.count("grants_unused")
-            self._slots.give_back(sender, grant)
+            self._slots.return_unused(sender, grant)
             return
-        self._note_waiting(now, grant.pool, grant.organisation)
-        held = self._slots.hold(sender, grant)
+        self._update_waiting(now, grant.pool, grant.organisation)
+        slot = self._slots.accept(sender, grant)
         self._metrics.observe("queue_wait", now - request.queued_at)
-        self._granted.pop(request.request_id).set_result(held)
+        self._pending_grants.pop(request.request_id).set_result(slot)
 
     def receive_recall(self, sender: str, recall: Recall) -> None:
-        """Return standing slots that an owner needs."""
+        """Return standing slots that an owner recalls."""
         self._slots.recall(sender, recall)
 
     def check_admission(self, call: Call) -> None:
-        """Refuse a call that would find the queue full, before it is claimed."""
+        """Refuse a call for which the queue is full, before it is claimed."""
         self._queue.check_bounds(self._timers.now(), call.organisation)
 
-    def receive_alone_grant(self, sender: str, message: AloneGrant) -> None:
-        """Give the whole endpoint to the request that waits for it, or return it."""
-        waiting = self._alone.pop(message.request_id, None)
+    def receive_isolated_grant(self, sender: str, message: AloneGrant) -> None:
+        """Assign the endpoint to the request that waits in isolation, or return it."""
+        waiting = self._isolated.pop(message.request_id, None)
         if waiting is None:
-            self._slots.give_back(sender, message.grant)
+            self._slots.return_unused(sender, message.grant)
             return
-        waiting.future.set_result(self._slots.hold(sender, message.grant, alone=True))
+        waiting.future.set_result(
+            self._slots.accept(sender, message.grant, isolated=True)
+        )
 
     def receive_endpoint_lost(self, message: EndpointLost) -> None:
-        """End attempts at an endpoint that is gone."""
-        self._slots.end_lost(message)
+        """End attempts on a lost endpoint."""
+        self._slots.end_attempts(message)
 
     def receive_suspect(self, message: Suspect) -> None:
-        """Note that a request ran on an endpoint that crashed."""
+        """Record that a request ran on an endpoint that crashed."""
         self._suspects.record(
             self._timers.now(),
             message.fingerprint,
@@ -208,15 +210,15 @@
         )
 
     async def run(self, call: Call, sink: Sink) -> None:
-        """Run a call and write its answer.
+        """Run a call and write its response.
 
         Raises
         ------
         RefusalError
-            If no complete answer was written; `ran` tells whether an endpoint may have
-            run the call.
+            If no complete response was written; `ran` states whether an endpoint may
+            have run the call.
         CallerFailedError
-            If the caller left.
+            If the caller disconnected or stalled.
         """
         self._calls += 1
         try:
@@ -231,20 +233,20 @@
         self._budget.record_first_attempt(call.organisation, call.service.id)
         attempt = 0
         while True:
-            held = await self._wait_for_slot(
+            slot = await self._wait_for_slot(
                 call, deadline, progress, fingerprint, attempt > 0
             )
-            endpoint = self._replica.endpoints.get(held.grant.endpoint)
+            endpoint = self._replica.endpoints.get(slot.grant.endpoint)
             if endpoint is None:
-                self._slots.release(held, Outcome.UNUSED)
+                self._slots.release(slot, Outcome.UNUSED)
                 continue
             if self._verdict(fingerprint) is Verdict.REFUSED:
-                # A copy of the request was found to crash endpoints meanwhile.
-                self._slots.release(held, Outcome.UNUSED)
+                # Copies of the request crashed endpoints while this one was queued.
+                self._slots.release(slot, Outcome.UNUSED)
                 continue
             attempt += 1
             try:
-                await self._attempt(endpoint, held, call, sink, progress, fingerprint)
+                await self._attempt(endpoint, slot, call, sink, progress, fingerprint)
             except EndpointFailedError as error:
                 self._check_retry(error, call, sink, progress, attempt)
                 self._metrics.count("retries", error.code)
@@ -262,27 +264,27 @@
     async def _attempt(
         self,
         endpoint: Endpoint,
-        held: HeldGrant,
+        slot: GrantedSlot,
         call: Call,
         sink: Sink,
         progress: Progress,
         fingerprint: bytes,
     ) -> None:
-        held.progress = progress
+        slot.progress = progress
         progress.units = 0.0
-        kind = self._replica.pools[held.grant.pool].endpoints
+        kind = self._replica.pools[slot.grant.pool].endpoints
         try:
-            exchange = await self._exchange(endpoint, held, call, sink, kind)
+            exchange = await self._exchange(endpoint, slot, call, sink, kind)
         except EndpointFailedError as error:
-            self._slots.release(held, _outcome(error), fingerprint=fingerprint)
+            self._slots.release(slot, _outcome(error), fingerprint=fingerprint)
             raise
         except BaseException:
-            self._slots.release(held, Outcome.CANCELLED)
+            self._slots.release(slot, Outcome.CANCELLED)
             raise
-        pool = held.grant.pool
+        pool = slot.grant.pool
         keep = not self._queue.has_waiting(pool)
-        self._slots.release(held, Outcome.COMPLETED, exchange, keep=keep)
-        if held.alone:
+        self._slots.release(slot, Outcome.COMPLETED, exchange, keep=keep)
+        if slot.isolated:
             self._suspects.clear(fingerprint)
         self._metrics.count("answers")
         if exchange.first_token_s:
@@ -291,22 +293,22 @@
     async def _exchange(
         self,
         endpoint: Endpoint,
-        held: HeldGrant,
+        slot: GrantedSlot,
         call: Call,
         sink: Sink,
         kind: PoolKind,
     ) -> Exchange:
         try:
-            async with asyncio.timeout(None) as held.scope:
+            async with asyncio.timeout(None) as slot.timeout:
                 return await self._clients[kind].exchange(
-                    endpoint, call, sink, held.progress
+                    endpoint, call, sink, slot.progress
                 )
         except TimeoutError as error:
             raise EndpointDisconnectedError(
-                f"endpoint {endpoint.id!r} was lost"
+                f"endpoint {endpoint.id!r} was reported lost by its owner"
             ) from error
         finally:
-            held.scope = None
+            slot.timeout = None
 
     async def _wait_for_slot(
         self,
@@ -314,8 +316,8 @@
         deadline: float,
         progress: Progress,
         fingerprint: bytes,
-        again: bool,
-    ) -> HeldGrant:
+        is_retry: bool,
+    ) -> GrantedSlot:
         now = self._timers.now()
         ran = Ran.UNKNOWN if progress.sent else Ran.NOT_RUN
         request = WaitingRequest(
@@ -326,75 +328,80 @@
             deadline=deadline,
         )
         verdict = self._verdict(fingerprint)
-        if verdict is Verdict.CLEAR and not again:
-            kept = self._take_standing(call)
-            if kept is not None:
-                return kept
+        if verdict is Verdict.CLEAR and not is_retry:
+            standing_slot = self._take_standing(call)
+            if standing_slot is not None:
+                return standing_slot
         match verdict:
             case Verdict.REFUSED:
                 raise RequestSuspectedError(
-                    "endpoints crashed while they ran this request", ran=ran
+                    "endpoints crashed while running this request", ran=ran
                 )
             case Verdict.ISOLATED:
-                future = self._queue_alone(request, fingerprint)
+                future = self._queue_isolated(request, fingerprint)
             case Verdict.CLEAR:
-                future = self._queue_shared(now, request, again)
+                future = self._queue_shared(now, request, is_retry)
         try:
             async with asyncio.timeout_at(deadline):
                 return await asyncio.shield(future)
         except TimeoutError as error:
-            self._give_up(request, future)
+            self._withdraw(request, future)
             raise QueueTimeoutError(
-                f"no slot of pool {request.pool!r} was free in "
+                f"no slot of pool {request.pool!r} was granted within "
                 f"{call.service.queue_timeout_s:g} s",
                 ran=ran,
                 retry_after=1.0,
             ) from error
         except asyncio.CancelledError:
-            self._give_up(request, future)
+            self._withdraw(request, future)
             raise
 
-    def _take_standing(self, call: Call) -> HeldGrant | None:
-        """Use a kept slot, unless requests wait for the pool already."""
+    def _take_standing(self, call: Call) -> GrantedSlot | None:
+        """Use a standing slot, unless requests are already queued for the pool."""
         pool = call.service.pool
         if self._queue.has_waiting(pool):
             return None
-        while (held := self._slots.take_standing(pool, call.organisation)) is not None:
-            endpoint = self._replica.endpoints.get(held.grant.endpoint)
+        while (slot := self._slots.take_standing(pool, call.organisation)) is not None:
+            endpoint = self._replica.endpoints.get(slot.grant.endpoint)
             if endpoint is not None and endpoint.state is EndpointState.ACTIVE:
-                return held
-            self._slots.release(held, Outcome.UNUSED)
+                return slot
+            self._slots.release(slot, Outcome.UNUSED)
         return None
 
     def _queue_shared(
-        self, now: float, request: WaitingRequest, again: bool
-    ) -> asyncio.Future[HeldGrant]:
-        if again:
+        self, now: float, request: WaitingRequest, is_retry: bool
+    ) -> asyncio.Future[GrantedSlot]:
+        if is_retry:
             self._queue.add_first(request)
         else:
             self._queue.add(now, request)
-        future: asyncio.Future[HeldGrant] = asyncio.get_running_loop().create_future()
-        self._granted[request.request_id] = future
-        self._note_waiting(now, request.pool, request.organisation)
+        future: asyncio.Future[GrantedSlot] = asyncio.get_running_loop().create_future()
+        self._pending_grants[request.request_id] = future
+        self._update_waiting(now, request.pool, request.organisation)
         return future
 
     def _verdict(self, fingerprint: bytes) -> Verdict:
         return self._suspects.verdict(self._timers.now(), fingerprint)
 
-    def _queue_alone(
+    def _queue_isolated(
         self, request: WaitingRequest, fingerprint: bytes
-    ) -> asyncio.Future[HeldGrant]:
+    ) -> asyncio.Future[GrantedSlot]:
         self._metrics.count("runs_alone")
-        future: asyncio.Future[HeldGrant] = asyncio.get_running_loop().create_future()
-        self._alone[request.request_id] = WaitingAlone(request, fingerprint, future)
-        self._tell_alone(self._alone[request.request_id])
+        future: asyncio.Future[GrantedSlot] = asyncio.get_running_loop().create_future()
+        self._isolated[request.request_id] = IsolatedRequest(
+            request, fingerprint, future
+        )
+        self._send_isolation_demand(self._isolated[request.request_id])
         return future
 
-    def _tell_alone(self, waiting: WaitingAlone) -> None:
-        """Ask the owner that all copies of the request ask; it runs one at a time."""
+    def _send_isolation_demand(self, waiting: IsolatedRequest) -> None:
+        """Send the demand to the owner chosen by fingerprint.
+
+        All copies of a request get the same owner, which runs them one at a time.
+        """
         request = waiting.request
         owner = rendezvous(
-            waiting.fingerprint.hex(), self._owners.get(request.pool, ())
+            waiting.fingerprint.hex(), self._owners_by_pool.get(request.pool, ())
         )
         if owner is not None:
             self._send(
@@ -402,18 +409,18 @@
                 AloneDemand(request.request_id, request.pool, request.organisation),
             )
 
-    def _give_up(
-        self, request: WaitingRequest, future: asyncio.Future[HeldGrant]
+    def _withdraw(
+        self, request: WaitingRequest, future: asyncio.Future[GrantedSlot]
     ) -> None:
         if future.done():
-            # The grant arrived in the same loop turn as the timeout or cancellation.
+            # Granted in the same loop iteration as the timeout or cancellation.
             self._slots.release(future.result(), Outcome.UNUSED)
             return
-        if self._alone.pop(request.request_id, None) is not None:
+        if self._isolated.pop(request.request_id, None) is not None:
             return
-        del self._granted[request.request_id]
+        del self._pending_grants[request.request_id]
         self._queue.remove(request.request_id)
-        self._note_waiting(self._timers.now(), request.pool, request.organisation)
+        self._update_waiting(self._timers.now(), request.pool, request.organisation)
 
     def _check_retry(
         self,
@@ -423,7 +430,7 @@
         progress: Progress,
         attempt: int,
     ) -> None:
-        """Return if the call may be tried again, else raise the refusal."""
+        """Raise the refusal unless the call may be retried."""
         ran = Ran.UNKNOWN if progress.sent else Ran.NOT_RUN
         if progress.sent and not call.service.idempotent:
             raise OutcomeUnknownError(str(error)) from error
@@ -434,17 +441,17 @@
         if attempt >= self._settings.retry.attempts:
             self._metrics.count("retries_denied", "attempts")
             raise RetriesExhaustedError(
-                f"{attempt} attempts failed, the last: {error}", ran=ran
+                f"{attempt} attempts failed; last failure: {error}", ran=ran
             ) from error
         if not self._budget.take_retry(call.organisation, call.service.id):
             self._metrics.count("retries_denied", "budget")
             raise RetriesExhaustedError(
-                f"the retry budget is used up; last failure: {error}",
+                f"retry budget exhausted; last failure: {error}",
                 ran=ran,
                 retry_after=1.0,
             ) from error
 
-    def _note_waiting(self, now: float, pool: str, organisation: str) -> None:
+    def _update_waiting(self, now: float, pool: str, organisation: str) -> None:
         waiting = self._queue.waiting(pool, organisation)
         self._demand.set_waiting(now, pool, organisation, waiting)
         self._schedule_flush()
@@ -456,11 +463,11 @@
 
     def _flush(self) -> None:
         self._flush_pending = False
-        self._tell(self._demand.flush(self._timers.now()))
+        self._send_demand(self._demand.flush(self._timers.now()))
         self._schedule_tick()
 
     def _schedule_tick(self) -> None:
-        """Have demand looked after while there is any; an idle entry does not wake."""
+        """Schedule a tick while there is demand; an idle entry sets no timer."""
         if self._tick_pending is None and self._demand.active:
             self._tick_pending = self._timers.after(
                 self._settings.queue.escalation_s, self._tick
@@ -468,22 +475,22 @@
 
     def _tick(self, now: float) -> None:
         self._tick_pending = None
-        self._tell(self._demand.tick(now))
+        self._send_demand(self._demand.tick(now))
         self._schedule_tick()
 
     def _refresh(self, now: float) -> None:
-        self._tell(self._demand.refresh(now))
-        for waiting in self._alone.values():
-            self._tell_alone(waiting)
+        self._send_demand(self._demand.refresh(now))
+        for waiting in self._isolated.values():
+            self._send_isolation_demand(waiting)
         self._slots.refresh(now)
 
-    def _tell(self, actions: list[SendDemand]) -> None:
+    def _send_demand(self, actions: list[SendDemand]) -> None:
         for action in actions:
             self._send(action.owner, action.demand)
 
 
 def _fingerprint(call: Call) -> bytes:
-    """Return a hash of what the caller asked for, the same for each resend."""
+    """Return a hash of the request that is the same for each resend."""
     digest = xxhash.xxh3_64()
     parts = (call.organisation, call.service.id, call.method, call.path)
     digest.update("\0".join(parts).encode())
--- a/borageworks/router/entry_slots.py
+++ b/borageworks/router/entry_slots.py
@@ -1,4 +1,4 @@
-"""Slots that an entry instance uses or keeps, and what it tells their owners."""
+"""Slots that an entry instance uses or retains, and reports to their owners."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from borageworks.endpoints.exchange import Exchange
 from borageworks.endpoints.progress import Progress
 from borageworks.metrics import Metrics
-from borageworks.router.granted_slot import HeldGrant
+from borageworks.router.granted_slot import GrantedSlot
 from borageworks.router.standing_slots import StandingSlots
 from borageworks.router.usage import Usage
 from borageworks.timers import Timers
@@ -25,32 +25,33 @@
 
 Send = Callable[[str, Message], None]
 
-# An attempt at an endpoint that does not answer its owner ends after this silence.
-SILENT_S = 3.0
+# An attempt on an endpoint that does not respond to its owner ends after this time
+# without a byte received.
+SILENCE_TIMEOUT_S = 3.0
 
 
-class Slots:
+class EntrySlots:
     """Slots of one entry instance.
 
-    A slot in use is released when its request ends. A standing slot may be kept; its
-    uses are summed and reported with `refresh`, once a second.
+    A slot in use is released when its request ends. A standing slot may be retained;
+    its usage is summed and reported at each `refresh`, once a second.
 
     Parameters
     ----------
     timers, metrics
-        Services of the process.
+        Timers and metrics of the process.
     send
-        Sends a message to an instance, also to this one.
+        Sends a message to any instance, including this one.
     """
 
     def __init__(self, timers: Timers, metrics: Metrics, send: Send) -> None:
         self._timers = timers
         self._metrics = metrics
         self._send = send
-        self._held: dict[int, HeldGrant] = {}
+        self._in_use: dict[int, GrantedSlot] = {}
         self._standing = StandingSlots()
         self._usage = Usage()
-        self._kept: list[tuple[str, Release]] = []
+        self._unsent_releases: list[tuple[str, Release]] = []
         self._draining = False
 
     @property
@@ -58,40 +59,42 @@
         """Number of idle standing slots."""
         return len(self._standing)
 
-    def hold(self, owner: str, grant: Grant, *, alone: bool = False) -> HeldGrant:
-        """Use a granted slot."""
-        held = HeldGrant(
+    def accept(
+        self, owner: str, grant: Grant, *, isolated: bool = False
+    ) -> GrantedSlot:
+        """Record a granted slot as in use."""
+        slot = GrantedSlot(
             grant,
             owner,
             Progress(),
             organisation=grant.organisation,
             standing=grant.standing,
-            alone=alone,
+            isolated=isolated,
         )
-        self._held[grant.grant_id] = held
-        return held
+        self._in_use[grant.grant_id] = slot
+        return slot
 
-    def give_back(self, owner: str, grant: Grant) -> None:
-        """Return a slot that was granted and not used."""
-        # The owner has to settle the first request before it frees a kept slot.
-        self._flush_kept()
+    def return_unused(self, owner: str, grant: Grant) -> None:
+        """Return a slot that is not in use."""
+        # The owner must settle the first request before it frees a retained slot.
+        self._send_releases()
         self._send(owner, Release(grant.grant_id, Outcome.UNUSED, 0.0))
 
-    def take_standing(self, pool: str, organisation: str) -> HeldGrant | None:
-        """Use a kept slot of the pool, None if there is none."""
-        held = self._standing.take(pool)
-        if held is None:
+    def take_standing(self, pool: str, organisation: str) -> GrantedSlot | None:
+        """Use a retained slot of the pool; return None if there is none."""
+        slot = self._standing.take(pool)
+        if slot is None:
             return None
-        held.organisation = organisation
-        held.reused = True
-        held.reported = 0.0
-        self._held[held.grant.grant_id] = held
+        slot.organisation = organisation
+        slot.reused = True
+        slot.reported_units = 0.0
+        self._in_use[slot.grant.grant_id] = slot
         self._metrics.count("slots_reused")
-        return held
+        return slot
 
     def release(
         self,
-        held: HeldGrant,
+        slot: GrantedSlot,
         outcome: Outcome,
         exchange: Exchange | None = None,
         *,
@@ -103,26 +106,27 @@
         Parameters
         ----------
         exchange
-            The complete exchange; without it the units received so far count.
+            Result of a completed exchange; without it the units received so far are
+            reported.
         fingerprint
-            Identifies the request if the endpoint seems to have crashed.
+            Fingerprint of the request, sent if the endpoint may have crashed.
         keep
-            Whether a standing slot may be kept.
+            Whether a standing slot may be retained.
         """
-        grant = held.grant
-        del self._held[grant.grant_id]
+        grant = slot.grant
+        del self._in_use[grant.grant_id]
         if exchange is None:
             unused = outcome is Outcome.UNUSED
-            exchange = Exchange(units=0.0 if unused else held.progress.units)
+            exchange = Exchange(units=0.0 if unused else slot.progress.units)
         units = exchange.units
-        if held.reused:
-            rest = max(0.0, units - held.reported)
-            self._usage.add(held.owner, grant.pool, held.organisation, rest, 1)
+        if slot.reused:
+            unreported = max(0.0, units - slot.reported_units)
+            self._usage.add(slot.owner, grant.pool, slot.organisation, unreported, 1)
             units = 0.0
-        keep = keep and held.standing and not self._draining
+        keep = keep and slot.standing and not self._draining
         if keep:
-            self._standing.add(self._timers.now(), held)
-            if held.reused:
+            self._standing.add(self._timers.now(), slot)
+            if slot.reused:
                 return
         release = Release(
             grant.grant_id,
@@ -134,103 +138,105 @@
             keep,
         )
         if keep:
-            # The slot stays in use, so the owner can wait for the next batch.
-            self._kept.append((held.owner, release))
+            # The slot remains occupied at the owner, so the release can be batched.
+            self._unsent_releases.append((slot.owner, release))
         else:
-            self._send(held.owner, release)
+            self._send(slot.owner, release)
 
     def recall(self, owner: str, recall: Recall) -> None:
-        """Return idle standing slots, and busy ones once their requests end."""
-        for held in self._standing.recall(owner, recall.pool, recall.endpoint):
-            self.give_back(held.owner, held.grant)
-        for held in self._held.values():
-            wanted = recall.endpoint in ("", held.grant.endpoint)
-            if wanted and held.owner == owner and held.grant.pool == recall.pool:
-                held.standing = False
+        """Return idle standing slots now, and those in use once their requests end."""
+        for slot in self._standing.recall(owner, recall.pool, recall.endpoint):
+            self.return_unused(slot.owner, slot.grant)
+        for slot in self._in_use.values():
+            recalled = recall.endpoint in ("", slot.grant.endpoint)
+            if recalled and slot.owner == owner and slot.grant.pool == recall.pool:
+                slot.standing = False
 
     def set_owners(self, owners: Mapping[str, str]) -> None:
-        """Return kept slots of former owners; tell new ones of the slots in use."""
-        for held in self._standing.all():
-            if owners.get(held.grant.endpoint) != held.owner:
-                self._standing.recall(held.owner, held.grant.pool, held.grant.endpoint)
-                self.give_back(held.owner, held.grant)
-        for held in self._held.values():
-            owner = owners.get(held.grant.endpoint)
-            if owner is not None and owner != held.owner:
-                self._report_progress(held)
-                held.owner = owner
-                self._tell_running(held)
+        """Return idle slots to former owners; report slots in use to new owners."""
+        for slot in self._standing.idle_slots():
+            if owners.get(slot.grant.endpoint) != slot.owner:
+                self._standing.recall(slot.owner, slot.grant.pool, slot.grant.endpoint)
+                self.return_unused(slot.owner, slot.grant)
+        for slot in self._in_use.values():
+            owner = owners.get(slot.grant.endpoint)
+            if owner is not None and owner != slot.owner:
+                self._report_progress(slot)
+                slot.owner = owner
+                self._report_running(slot)
 
     def link_up(self, owner: str) -> None:
-        """Tell an owner of the slots in use, after a link to it came up."""
-        for held in self._held.values():
-            if held.owner == owner:
-                self._tell_running(held)
+        """Report the slots in use to an owner after the link to it came up."""
+        for slot in self._in_use.values():
+            if slot.owner == owner:
+                self._report_running(slot)
 
     def link_lost(self, owner: str) -> None:
-        """Forget kept slots of an owner, which has freed them too."""
-        self._standing.drop_owner(owner)
-        self._kept = [kept for kept in self._kept if kept[0] != owner]
+        """Remove retained slots of an owner, which has freed them too."""
+        self._standing.remove_owner(owner)
+        self._unsent_releases = [
+            unsent for unsent in self._unsent_releases if unsent[0] != owner
+        ]
 
     def drain(self) -> None:
-        """Return all kept slots and keep none from now on."""
+        """Return all idle standing slots and retain no more."""
         self._draining = True
-        for held in self._standing.all():
-            self._standing.recall(held.owner, held.grant.pool, held.grant.endpoint)
-            self.give_back(held.owner, held.grant)
+        for slot in self._standing.idle_slots():
+            self._standing.recall(slot.owner, slot.grant.pool, slot.grant.endpoint)
+            self.return_unused(slot.owner, slot.grant)
 
-    def end_lost(self, message: EndpointLost) -> None:
-        """End attempts whose endpoint is gone without closing its connections.
+    def end_attempts(self, message: EndpointLost) -> None:
+        """End attempts on an endpoint lost without its connections being closed.
 
-        Where the endpoint only does not answer its owner, attempts that still receive
-        bytes go on.
+        If the endpoint has not restarted and only fails to respond to its owner,
+        attempts that still receive bytes continue.
         """
-        silent_since = time.monotonic() - SILENT_S
-        for held in self._held.values():
-            if held.grant.endpoint != message.endpoint or held.scope is None:
+        silent_since = time.monotonic() - SILENCE_TIMEOUT_S
+        for slot in self._in_use.values():
+            if slot.grant.endpoint != message.endpoint or slot.timeout is None:
                 continue
-            if message.restarted or held.progress.last_received_at < silent_since:
+            if message.restarted or slot.progress.last_received_at < silent_since:
                 self._metrics.count("attempts_ended", "endpoint_lost")
-                held.scope.reschedule(self._timers.now())
+                slot.timeout.reschedule(self._timers.now())
 
     def refresh(self, now: float) -> None:
-        """Report units received and uses of kept slots; return slots idle too long."""
-        for held in self._held.values():
-            self._report_progress(held)
-        self._flush_kept()
+        """Report units received and retained slots' usage; return expired slots."""
+        for slot in self._in_use.values():
+            self._report_progress(slot)
+        self._send_releases()
         for owner, used in self._usage.take():
             self._send(owner, used)
-        for held in self._standing.expire(now):
-            self.give_back(held.owner, held.grant)
+        for slot in self._standing.expire(now):
+            self.return_unused(slot.owner, slot.grant)
 
-    def _flush_kept(self) -> None:
-        kept, self._kept = self._kept, []
-        for owner, release in kept:
+    def _send_releases(self) -> None:
+        releases, self._unsent_releases = self._unsent_releases, []
+        for owner, release in releases:
             self._send(owner, release)
 
-    def _report_progress(self, held: HeldGrant) -> None:
-        grown = held.progress.units - held.reported
-        if grown <= 0:
+    def _report_progress(self, slot: GrantedSlot) -> None:
+        unreported = slot.progress.units - slot.reported_units
+        if unreported <= 0:
             return
-        held.reported = held.progress.units
-        grant = held.grant
-        if held.reused:
-            self._usage.add(held.owner, grant.pool, held.organisation, grown, 0)
+        slot.reported_units = slot.progress.units
+        grant = slot.grant
+        if slot.reused:
+            self._usage.add(slot.owner, grant.pool, slot.organisation, unreported, 0)
         else:
-            self._send(held.owner, Charge(grant.grant_id, held.progress.units))
+            self._send(slot.owner, Charge(grant.grant_id, slot.progress.units))
 
-    def _tell_running(self, held: HeldGrant) -> None:
-        """Have an owner record a slot in use as an ordinary one."""
-        held.standing = False
-        held.reused = False
-        grant = held.grant
+    def _report_running(self, slot: GrantedSlot) -> None:
+        """Report a slot in use to an owner, which records it as not standing."""
+        slot.standing = False
+        slot.reused = False
+        grant = slot.grant
         self._send(
-            held.owner,
+            slot.owner,
             Running(
                 grant.grant_id,
                 grant.endpoint,
                 grant.pool,
-                held.organisation,
-                held.progress.units,
+                slot.organisation,
+                slot.progress.units,
             ),
         )
--- a/borageworks/router/granted_slot.py
+++ b/borageworks/router/granted_slot.py
@@ -1,4 +1,4 @@
-"""A grant that an entry instance uses."""
+"""A slot granted to an entry instance."""
 
 from __future__ import annotations
 
@@ -10,37 +10,38 @@
 
 
 @dataclass(slots=True)
-class HeldGrant:
-    """One slot in use.
+class GrantedSlot:
+    """A slot granted to this entry instance, in use or retained.
 
     Parameters
     ----------
     grant
-        The grant as its owner sent it.
+        Grant as sent by the owner that issued it.
     owner
-        Instance that is told of its end; changes when the endpoint's owner changes.
+        Current owner of the endpoint, to which the slot is released.
     progress
-        Progress of the call that uses it.
-    reported
-        Service units of the running request that the owner was told.
+        Progress of the call that uses the slot.
+    reported_units
+        Service units of the running request reported to the owner so far.
     organisation
-        Whose request uses the slot.
+        Organisation whose request uses the slot.
     standing
-        Whether the slot may be kept after the request.
+        Whether the slot may be retained after the request.
     reused
-        Whether the slot was kept and is used again.
-    scope
-        Ends the running attempt when it is rescheduled to the present.
-    alone
-        Whether the request runs with no other beside it.
+        Whether the slot was retained after an earlier request.
+    timeout
+        Timeout of the running attempt; rescheduling it to the current time ends the
+        attempt.
+    isolated
+        Whether the request runs in isolation.
     """
 
     grant: Grant
     owner: str
     progress: Progress
-    reported: float = 0.0
+    reported_units: float = 0.0
     organisation: str = ""
     standing: bool = False
     reused: bool = False
-    scope: asyncio.Timeout | None = None
-    alone: bool = False
+    timeout: asyncio.Timeout | None = None
+    isolated: bool = False
--- a/borageworks/router/isolated_request.py
+++ b/borageworks/router/isolated_request.py
@@ -1,18 +1,18 @@
-"""A request that waits at its entry instance to run alone on an endpoint."""
+"""A request that waits at its entry instance to run in isolation."""
 
 from __future__ import annotations
 
 import asyncio
 from dataclasses import dataclass
 
-from borageworks.router.granted_slot import HeldGrant
+from borageworks.router.granted_slot import GrantedSlot
 from borageworks.routing.waiting import WaitingRequest
 
 
 @dataclass(frozen=True, slots=True)
-class WaitingAlone:
-    """One such request, its fingerprint, and where its grant goes."""
+class IsolatedRequest:
+    """The request, its fingerprint and the future that receives its slot."""
 
     request: WaitingRequest
     fingerprint: bytes
-    future: asyncio.Future[HeldGrant]
+    future: asyncio.Future[GrantedSlot]
--- a/borageworks/router/isolation.py
+++ b/borageworks/router/isolation.py
@@ -1,4 +1,4 @@
-"""Requests that wait at an owner to run alone on an endpoint."""
+"""Demands that wait at an owner for an endpoint in isolation."""
 
 from __future__ import annotations
 
@@ -7,37 +7,37 @@
 
 from borageworks.wire.messages import AloneDemand
 
-# Entry instances repeat a demand each second while the request waits.
-EXPIRY_S = 3.0
+# Entry instances repeat a demand every second while the request waits.
+DEMAND_EXPIRY_S = 3.0
 
-AloneKey = tuple[str, int]
+IsolationKey = tuple[str, int]
 
 
 @dataclass(slots=True)
-class _Waiting:
+class _WaitingDemand:
     demand: AloneDemand
-    heard_at: float
+    refreshed_at: float
 
 
 class IsolationQueue:
-    """Demands for a whole endpoint, first come first served per pool."""
+    """Demands for an endpoint in isolation, first come first served per pool."""
 
     def __init__(self) -> None:
-        self._waiting: OrderedDict[AloneKey, _Waiting] = OrderedDict()
+        self._waiting: OrderedDict[IsolationKey, _WaitingDemand] = OrderedDict()
 
     def __len__(self) -> int:
         """Return the number of waiting demands."""
         return len(self._waiting)
 
     def add(self, now: float, entry: str, demand: AloneDemand) -> None:
-        """Add a demand or note that it still waits."""
+        """Add a demand, or refresh one that still waits."""
         waiting = self._waiting.setdefault(
-            (entry, demand.request_id), _Waiting(demand, now)
+            (entry, demand.request_id), _WaitingDemand(demand, now)
         )
-        waiting.heard_at = now
+        waiting.refreshed_at = now
 
-    def waits(self, now: float, pool: str) -> bool:
-        """Return whether a demand for the pool waits."""
+    def has_waiting(self, now: float, pool: str) -> bool:
+        """Return whether a demand waits for the pool."""
         return self._first(now, pool) is not None
 
     def pop(self, now: float, pool: str) -> tuple[str, AloneDemand] | None:
@@ -47,14 +47,14 @@
             return None
         return key[0], self._waiting.pop(key).demand
 
-    def drop_entry(self, entry: str) -> None:
-        """Forget the demands of an entry instance."""
+    def remove_entry(self, entry: str) -> None:
+        """Remove the demands of an entry instance."""
         for key in [key for key in self._waiting if key[0] == entry]:
             del self._waiting[key]
 
-    def _first(self, now: float, pool: str) -> AloneKey | None:
+    def _first(self, now: float, pool: str) -> IsolationKey | None:
         for key, waiting in list(self._waiting.items()):
-            if now - waiting.heard_at > EXPIRY_S:
+            if now - waiting.refreshed_at > DEMAND_EXPIRY_S:
                 del self._waiting[key]
             elif waiting.demand.pool == pool:
                 return key
--- a/borageworks/router/owned_endpoint.py
+++ b/borageworks/router/owned_endpoint.py
@@ -9,37 +9,37 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BrokenRun:
-    """A request whose connection broke: whether it ran alone, and when it was told."""
+class BrokenRequest:
+    """Report of a request whose connection broke, and whether it ran in isolation."""
 
-    alone: bool
-    told_at: float
+    isolated: bool
+    reported_at: float
 
 
 @dataclass(slots=True)
 class OwnedEndpoint:
-    """One owned endpoint.
+    """An endpoint and its slots at this owner.
 
     Parameters
     ----------
     endpoint
-        Its configuration.
+        Configuration of the endpoint.
     window
-        Its slots.
+        Concurrency window that limits its slots.
     grants_from
-        Loop time from which grants are given; until then entry instances report the
-        slots that they use from a former owner's grants.
+        Loop time before which no grants are issued, so that entry instances can report
+        the slots in use that a former owner granted.
     up
-        Whether it answers; a down endpoint gets no grants.
+        Whether the endpoint responds; no grants are issued for one that is down.
     incarnation
-        As it last reported.
+        Incarnation in the last load report.
     missed_reports
-        Load reports in a row that did not arrive.
+        Number of consecutive load reports that failed.
     reserved
-        Whether the endpoint is kept free for a request that runs alone.
-    crashed
+        Whether the endpoint is reserved for a request in isolation.
+    broken_requests
         Requests that were running when connections to this incarnation broke, by
-        fingerprint; kept until a later report tells whether it crashed.
+        fingerprint; retained until a later load report shows whether it crashed.
     """
 
     endpoint: Endpoint
@@ -49,10 +49,10 @@
     incarnation: str = ""
     missed_reports: int = 0
     reserved: bool = False
-    crashed: dict[bytes, BrokenRun] = field(default_factory=dict)
+    broken_requests: dict[bytes, BrokenRequest] = field(default_factory=dict)
 
-    def free(self, now: float) -> int:
-        """Return the number of slots that can be granted now."""
+    def free_slots(self, now: float) -> int:
+        """Return the number of slots that can be granted."""
         if not self.up or self.reserved or now < self.grants_from:
             return 0
         return self.window.limit - self.window.in_use
--- a/borageworks/router/owned_pool.py
+++ b/borageworks/router/owned_pool.py
@@ -17,7 +17,7 @@
         self._served: dict[str, float] = {}
         self._served_total = 0.0
         self._changed: set[str] = set()
-        self._holders: dict[str, int] = {}
+        self._owner_counts: dict[str, int] = {}
 
     @property
     def served(self) -> Mapping[str, float]:
@@ -30,27 +30,29 @@
         return self._served_total
 
     def clear_demand(self) -> None:
-        """Forget all demand, when no endpoint of the pool is owned any more.
+        """Remove all demand when no endpoint of the pool is owned any more.
 
-        The service counters stay: they belong to this incarnation of the instance, and
-        other instances ignore a counter that falls.
+        The service counters remain: they belong to this incarnation of the instance,
+        and other instances ignore a counter that decreases.
         """
         self.queue = FairQueue()
 
     def set_share(self, organisation: str, share: float) -> None:
         """Set an organisation's share in this owner's queue.
 
-        Its share is divided by the owners that hold its demand, so that one that many
-        owners know does not get its whole share from each.
+        The share is divided by the number of owners with demand of the organisation,
+        so that it does not get its full share from each of them.
         """
-        self.queue.set_share(organisation, share / self._holders.get(organisation, 1))
+        self.queue.set_share(
+            organisation, share / self._owner_counts.get(organisation, 1)
+        )
 
-    def set_holders(self, holders: Mapping[str, int]) -> None:
-        """Replace the numbers of owners that hold demand, by organisation."""
-        self._holders = dict(holders)
+    def set_owner_counts(self, owner_counts: Mapping[str, int]) -> None:
+        """Replace the number of owners with demand of each organisation."""
+        self._owner_counts = dict(owner_counts)
 
     def count_service(self, organisation: str, units: float) -> None:
-        """Add service units; counters never fall, so a refund is ignored."""
+        """Add service units; counters never decrease, so a refund is ignored."""
         if units <= 0:
             return
         self._served[organisation] = self._served.get(organisation, 0.0) + units
@@ -58,6 +60,6 @@
         self._changed.add(organisation)
 
     def take_changed(self) -> set[str]:
-        """Return the organisations whose counters grew since the last call."""
+        """Return the organisations whose counters increased since the last call."""
         changed, self._changed = self._changed, set()
         return changed
--- a/borageworks/router/owner.py
+++ b/borageworks/router/owner.py
@@ -1,4 +1,4 @@
-"""Owner side of a router: grants the slots of the endpoints that it owns."""
+"""Owner side of a router: grants slots of the endpoints that it owns."""
 
 from __future__ import annotations
 
@@ -15,9 +15,9 @@
 from borageworks.fair.load_report import LoadReport
 from borageworks.fair.window import ConcurrencyWindow
 from borageworks.metrics import Metrics
-from borageworks.router.grants import GivenGrant, GrantTable
+from borageworks.router.grants import GrantTable, IssuedGrant
 from borageworks.router.isolation import IsolationQueue
-from borageworks.router.owned_endpoint import BrokenRun, OwnedEndpoint
+from borageworks.router.owned_endpoint import BrokenRequest, OwnedEndpoint
 from borageworks.router.owned_pool import OwnedPool
 from borageworks.timers import Subscription, Timers
 from borageworks.wire.messages import (
@@ -41,32 +41,32 @@
 
 # Entry instances report slots in use within one heartbeat of an ownership change.
 TAKEOVER_GRACE_S = 0.3
-# Part of a window that is kept for entry instances without a standing slot.
-STANDING_RESERVE = 0.25
-# One lost report can be a busy endpoint; requests that fail suspend it at once.
-MISSED_REPORTS_DOWN = 3
+# Fraction of a window reserved for entry instances without a standing slot.
+STANDING_RESERVE_RATIO = 0.25
+# A busy endpoint can miss a report; failed requests suspend an endpoint at once.
+MAX_MISSED_REPORTS = 3
 MILLISECONDS_PER_SECOND = 1000.0
 
 
 class Owner:
-    """Grants slots of owned endpoints in fair order.
+    """Grants slots of owned endpoints in weighted fair order.
 
     Parameters
     ----------
     settings
-        Window and fairness settings.
+        Window settings.
     replica
-        Configuration in force, for shares.
+        Current configuration, for shares.
     timers, metrics
-        Services of the process.
+        Timers and metrics of the process.
     transport
-        Connections for load reports.
+        Client for load reports.
     grants
-        Table of the grants given out.
+        Table of issued grants.
     send
-        Sends a message to an instance, also to this one.
+        Sends a message to any instance, including this one.
     broadcast
-        Sends a message to all live instances, also to this one.
+        Sends a message to all live instances, including this one.
     """
 
     def __init__(
@@ -92,8 +92,8 @@
         self._owned: dict[str, OwnedEndpoint] = {}
         self._pools: dict[str, OwnedPool] = {}
         self._subscription: Subscription | None = None
-        self._polls: set[asyncio.Task[None]] = set()
-        self._polled: Counter[str] = Counter()
+        self._poll_tasks: set[asyncio.Task[None]] = set()
+        self._polls_in_progress: Counter[str] = Counter()
 
     @property
     def owned(self) -> Mapping[str, OwnedEndpoint]:
@@ -102,7 +102,7 @@
 
     @property
     def pools(self) -> Mapping[str, OwnedPool]:
-        """Queues by pool."""
+        """Queues and service counters by pool."""
         return self._pools
 
     @property
@@ -111,7 +111,7 @@
         return len(self._grants)
 
     def start(self) -> None:
-        """Begin to poll load reports."""
+        """Start polling load reports."""
         self._subscription = self._timers.every(
             self._settings.window.report_interval_s, self._poll_all
         )
@@ -120,18 +120,18 @@
         """Stop polling."""
         if self._subscription is not None:
             self._subscription.cancel()
-        for poll in self._polls:
+        for poll in self._poll_tasks:
             poll.cancel()
 
     def set_owned(self, endpoints: Mapping[str, Endpoint]) -> None:
-        """Take over the endpoints to own; give up all others."""
+        """Take over the given endpoints and give up all others."""
         now = self._timers.now()
         for endpoint_id in [name for name in self._owned if name not in endpoints]:
             self._recall(self._owned[endpoint_id].endpoint.pool, endpoint_id)
-            # Entry instances tell the new owner of the slots that they use.
+            # Entry instances report the slots in use to the new owner.
             for grant in self._grants.at_endpoint(endpoint_id):
                 self._grants.pop(grant.grant_id)
-                self._charge_end(grant, grant.received)
+                self._charge_final(grant, grant.received_units)
             del self._owned[endpoint_id]
             emit(Event.ENDPOINT_DISOWNED, endpoint=endpoint_id)
         for endpoint in endpoints.values():
@@ -151,40 +151,40 @@
             emit(Event.ENDPOINT_OWNED, endpoint=endpoint.id)
             self._timers.after(TAKEOVER_GRACE_S, lambda _: self._grant_all())
             self._poll(endpoint)
-        live = {owned.endpoint.pool for owned in self._owned.values()}
+        owned_pools = {owned.endpoint.pool for owned in self._owned.values()}
         for name, pool in self._pools.items():
-            if name not in live:
+            if name not in owned_pools:
                 pool.clear_demand()
 
     def receive(self, sender: str, message: OwnerMessage) -> None:
-        """Handle a message of an entry instance."""
+        """Handle a message from an entry instance."""
         match message:
             case Demand():
-                self._demand(sender, message)
+                self._update_demand(sender, message)
             case AloneDemand():
                 self._isolation.add(self._timers.now(), sender, message)
-                self._grant(message.pool)
+                self._grant_slots(message.pool)
             case Release():
                 self._release(message)
             case Charge():
                 self._charge(message)
             case Used():
-                self._use(message)
+                self._record_usage(message)
             case Running():
                 self._adopt(sender, message)
 
     def link_lost(self, entry: str) -> None:
-        """Free what an entry instance held, after the link to it was lost."""
-        self._isolation.drop_entry(entry)
+        """Free the slots of an entry instance after the link to it was lost."""
+        self._isolation.remove_entry(entry)
         for pool in self._pools.values():
             pool.queue.drop_entry(entry)
-        touched = set()
+        freed_pools = set()
         for grant in self._grants.of_entry(entry):
             self._grants.pop(grant.grant_id)
-            self._settle(grant, grant.received)
-            touched.add(grant.pool)
-        for name in touched:
-            self._grant(name)
+            self._settle(grant, grant.received_units)
+            freed_pools.add(grant.pool)
+        for name in freed_pools:
+            self._grant_slots(name)
 
     def _update(self, owned: OwnedEndpoint, endpoint: Endpoint, now: float) -> None:
         if endpoint == owned.endpoint:
@@ -200,11 +200,11 @@
             pool = self._pools[name] = OwnedPool()
         return pool
 
-    def _demand(self, sender: str, demand: Demand) -> None:
+    def _update_demand(self, sender: str, demand: Demand) -> None:
         pool = self._pool(demand.pool)
         organisation = self._replica.organisations.get(demand.organisation)
         if organisation is None and demand.waiting:
-            # This replica is behind the entry's; the next refresh repeats the demand.
+            # This replica is stale; the entry instance repeats the demand every second.
             self._metrics.count("demand_ignored", "organisation_unknown")
             return
         if organisation is not None:
@@ -212,30 +212,34 @@
         pool.queue.set_demand(
             self._timers.now(), sender, demand.organisation, demand.waiting
         )
-        self._grant(demand.pool)
+        self._grant_slots(demand.pool)
 
-    def _grant(self, name: str) -> None:
+    def _grant_slots(self, name: str) -> None:
         pool = self._pool(name)
         now = self._timers.now()
-        self._grant_alone(name, now)
-        while (owned := self._freest(name, now)) is not None:
-            pick = pool.queue.take(now)
-            if pick is None:
+        self._grant_isolated(name, now)
+        while (owned := self._least_used(name, now)) is not None:
+            selection = pool.queue.take(now)
+            if selection is None:
                 return
-            grant = self._give(owned, pick.entry, pick.organisation, now)
-            self._send(pick.entry, grant)
+            grant = self._issue(owned, selection.entry, selection.organisation, now)
+            self._send(selection.entry, grant)
         if pool.queue.backlogged():
             self._recall(name)
 
-    def _grant_alone(self, name: str, now: float) -> None:
-        """Reserve an endpoint for a request that runs alone; grant it once empty."""
-        if not self._isolation.waits(now, name):
+    def _grant_isolated(self, name: str, now: float) -> None:
+        """Reserve an endpoint for a request in isolation; grant it once it is idle."""
+        if not self._isolation.has_waiting(now, name):
             return
-        owned_here = [o for o in self._owned.values() if o.endpoint.pool == name]
-        if any(owned.crashed for owned in owned_here):
-            # The next request may be a copy of the one that has just crashed one.
+        pool_endpoints = [
+            each for each in self._owned.values() if each.endpoint.pool == name
+        ]
+        if any(owned.broken_requests for owned in pool_endpoints):
+            # The next request may be a copy of one that has just crashed an endpoint.
             return
-        candidates = [o for o in owned_here if o.up and now >= o.grants_from]
+        candidates = [
+            each for each in pool_endpoints if each.up and now >= each.grants_from
+        ]
         if not candidates:
             return
         owned = min(
@@ -248,60 +252,60 @@
         waiting = self._isolation.pop(now, name)
         assert waiting is not None
         entry, demand = waiting
-        grant = self._give(owned, entry, demand.organisation, now, alone=True)
+        grant = self._issue(owned, entry, demand.organisation, now, isolated=True)
         self._send(entry, AloneGrant(demand.request_id, grant))
 
-    def _give(
+    def _issue(
         self,
         owned: OwnedEndpoint,
         entry: str,
         organisation: str,
         now: float,
         *,
-        alone: bool = False,
+        isolated: bool = False,
     ) -> Grant:
         name = owned.endpoint.pool
         pool = self._pool(name)
         owned.window.force_acquire(now)
         estimate = pool.costs.estimate(organisation, name, None)
         pool.queue.charge(organisation, estimate)
-        grant = GivenGrant(
+        grant = IssuedGrant(
             self._grants.new_id(),
             entry,
             owned.endpoint.id,
             name,
             organisation,
             estimate,
-            alone=alone,
-            standing=not alone and self._has_reserve(owned, now),
+            isolated=isolated,
+            standing=not isolated and self._has_reserve(owned, now),
         )
         self._grants.add(grant)
-        self._metrics.count("grants", "alone" if alone else "shared")
+        self._metrics.count("grants", "alone" if isolated else "shared")
         return Grant(grant.grant_id, grant.endpoint, name, organisation, grant.standing)
 
     def _has_reserve(self, owned: OwnedEndpoint, now: float) -> bool:
-        return owned.free(now) >= STANDING_RESERVE * owned.window.limit
+        return owned.free_slots(now) >= STANDING_RESERVE_RATIO * owned.window.limit
 
     def _recall(self, pool: str, endpoint: str = "") -> None:
-        """Ask for standing slots back, each entry instance once."""
-        taken = self._grants.take_standing(pool, endpoint)
-        for entry in sorted({grant.entry for grant in taken}):
+        """Recall standing slots, with one message to each entry instance."""
+        revoked = self._grants.revoke_standing(pool, endpoint)
+        for entry in sorted({grant.entry for grant in revoked}):
             self._metrics.count("recalls")
             self._send(entry, Recall(pool, endpoint))
 
     def _grant_all(self) -> None:
         for name in list(self._pools):
-            self._grant(name)
+            self._grant_slots(name)
 
-    def _freest(self, pool: str, now: float) -> OwnedEndpoint | None:
+    def _least_used(self, pool: str, now: float) -> OwnedEndpoint | None:
         candidates = [
             owned
             for owned in self._owned.values()
-            if owned.endpoint.pool == pool and owned.free(now) > 0
+            if owned.endpoint.pool == pool and owned.free_slots(now) > 0
         ]
         return max(
             candidates,
-            key=lambda owned: owned.free(now) / owned.window.limit,
+            key=lambda owned: owned.free_slots(now) / owned.window.limit,
             default=None,
         )
 
@@ -310,7 +314,7 @@
         if grant is None:
             self._metrics.count("releases_ignored")
             return
-        # A recall that crossed this message has the entry return the slot.
+        # If a recall crosses this message, the entry instance returns the slot later.
         if not release.keep:
             self._grants.pop(release.grant_id)
         owned = self._owned.get(grant.endpoint)
@@ -326,8 +330,8 @@
                     )
             case Outcome.CRASHED if owned is not None:
                 if release.fingerprint:
-                    owned.crashed[release.fingerprint] = BrokenRun(
-                        grant.alone, self._timers.now()
+                    owned.broken_requests[release.fingerprint] = BrokenRequest(
+                        grant.isolated, self._timers.now()
                     )
                 self._suspend(owned)
             case Outcome.UNREACHABLE if owned is not None:
@@ -336,30 +340,30 @@
                 pass
         self._metrics.count("releases", release.outcome.name.lower())
         if release.keep:
-            self._charge_end(grant, release.units)
-            grant.charged = grant.received = grant.counted = 0.0
+            self._charge_final(grant, release.units)
+            grant.charged_units = grant.received_units = grant.counted_units = 0.0
             grant.organisation = ""
         else:
             self._settle(grant, release.units)
-        self._grant(grant.pool)
+        self._grant_slots(grant.pool)
 
-    def _settle(self, grant: GivenGrant, units: float) -> None:
-        """Free the slot and replace the estimate by the units received."""
+    def _settle(self, grant: IssuedGrant, units: float) -> None:
+        """Free the slot and replace the estimated charge by the units received."""
         owned = self._owned.get(grant.endpoint)
         if owned is not None:
             owned.window.release(self._timers.now())
-            if grant.alone:
+            if grant.isolated:
                 owned.reserved = False
-        self._charge_end(grant, units)
+        self._charge_final(grant, units)
 
-    def _charge_end(self, grant: GivenGrant, units: float) -> None:
+    def _charge_final(self, grant: IssuedGrant, units: float) -> None:
         if not grant.organisation:
             return
         pool = self._pool(grant.pool)
-        pool.queue.charge(grant.organisation, units - grant.charged)
-        pool.count_service(grant.organisation, units - grant.counted)
+        pool.queue.charge(grant.organisation, units - grant.charged_units)
+        pool.count_service(grant.organisation, units - grant.counted_units)
 
-    def _use(self, used: Used) -> None:
+    def _record_usage(self, used: Used) -> None:
         pool = self._pool(used.pool)
         pool.queue.charge(used.organisation, used.units)
         pool.count_service(used.organisation, used.units)
@@ -370,22 +374,24 @@
         grant = self._grants.get(charge.grant_id)
         if grant is None:
             return
-        grant.received = max(grant.received, charge.units)
+        grant.received_units = max(grant.received_units, charge.units)
         pool = self._pool(grant.pool)
-        pool.count_service(grant.organisation, grant.received - grant.counted)
-        grant.counted = grant.received
-        if charge.units > grant.charged:
-            pool.queue.charge(grant.organisation, charge.units - grant.charged)
-            grant.charged = charge.units
+        pool.count_service(
+            grant.organisation, grant.received_units - grant.counted_units
+        )
+        grant.counted_units = grant.received_units
+        if charge.units > grant.charged_units:
+            pool.queue.charge(grant.organisation, charge.units - grant.charged_units)
+            grant.charged_units = charge.units
 
     def _adopt(self, sender: str, running: Running) -> None:
-        """Record a slot that was granted by a former owner."""
+        """Record a slot in use that a former owner granted."""
         owned = self._owned.get(running.endpoint)
         if owned is None or self._grants.get(running.grant_id) is not None:
             return
         owned.window.force_acquire(self._timers.now())
         self._grants.add(
-            GivenGrant(
+            IssuedGrant(
                 running.grant_id,
                 sender,
                 running.endpoint,
@@ -398,35 +404,37 @@
         )
 
     def _suspend(self, owned: OwnedEndpoint) -> None:
-        """Give no grants until the next load report tells the endpoint's state."""
+        """Issue no grants until the next load report shows the endpoint's state."""
         owned.up = False
         self._recall(owned.endpoint.pool, owned.endpoint.id)
-        # A report that is under way may have been written before the failure.
+        # A poll in progress may return a report from before the failure.
         self._start_poll(owned.endpoint)
 
-    def _fail(self, owned: OwnedEndpoint) -> None:
+    def _mark_down(self, owned: OwnedEndpoint) -> None:
         owned.up = False
         self._recall(owned.endpoint.pool, owned.endpoint.id)
         owned.window.on_failure(self._timers.now())
         self._metrics.count("endpoints_down")
         emit(Event.ENDPOINT_DOWN, endpoint=owned.endpoint.id)
-        self._blame(owned)
+        self._report_suspects(owned)
 
-    def _tell_lost(self, owned: OwnedEndpoint, *, restarted: bool) -> None:
+    def _notify_lost(self, owned: OwnedEndpoint, *, restarted: bool) -> None:
         grants = self._grants.at_endpoint(owned.endpoint.id)
         for entry in sorted({grant.entry for grant in grants}):
             self._send(entry, EndpointLost(owned.endpoint.id, restarted))
 
-    def _blame(self, owned: OwnedEndpoint) -> None:
-        """Tell all instances which requests ran on an incarnation that crashed."""
-        for fingerprint, run in owned.crashed.items():
+    def _report_suspects(self, owned: OwnedEndpoint) -> None:
+        """Report to all instances which requests ran on a crashed incarnation."""
+        for fingerprint, broken in owned.broken_requests.items():
             self._metrics.count("suspects")
             self._broadcast(
-                Suspect(fingerprint, owned.endpoint.id, owned.incarnation, run.alone)
+                Suspect(
+                    fingerprint, owned.endpoint.id, owned.incarnation, broken.isolated
+                )
             )
-        owned.crashed.clear()
+        owned.broken_requests.clear()
 
-    def _resume(self, owned: OwnedEndpoint) -> None:
+    def _mark_up(self, owned: OwnedEndpoint) -> None:
         owned.up = True
         owned.window.on_recovered(self._timers.now())
         emit(Event.ENDPOINT_UP, endpoint=owned.endpoint.id)
@@ -436,17 +444,17 @@
             self._poll(owned.endpoint)
 
     def _poll(self, endpoint: Endpoint) -> None:
-        if not self._polled[endpoint.id]:
+        if not self._polls_in_progress[endpoint.id]:
             self._start_poll(endpoint)
 
     def _start_poll(self, endpoint: Endpoint) -> None:
-        self._polled[endpoint.id] += 1
-        task = asyncio.get_running_loop().create_task(self._read_report(endpoint))
-        self._polls.add(task)
-        task.add_done_callback(self._polls.discard)
+        self._polls_in_progress[endpoint.id] += 1
+        task = asyncio.get_running_loop().create_task(self._poll_load(endpoint))
+        self._poll_tasks.add(task)
+        task.add_done_callback(self._poll_tasks.discard)
 
-    async def _read_report(self, endpoint: Endpoint) -> None:
-        asked_at = self._timers.now()
+    async def _poll_load(self, endpoint: Endpoint) -> None:
+        requested_at = self._timers.now()
         try:
             body = await self._transport.get_json(
                 endpoint, "/load", self._settings.window.report_interval_s
@@ -455,29 +463,31 @@
             self._metrics.count("load_reports_failed", error.code)
             owned = self._owned.get(endpoint.id)
             if owned is not None:
-                self._miss_report(owned, error)
-                self._grant(endpoint.pool)
+                self._record_missed_report(owned, error)
+                self._grant_slots(endpoint.pool)
         else:
-            self._take_report(endpoint, body, asked_at)
+            self._apply_report(endpoint, body, requested_at)
         finally:
-            self._polled[endpoint.id] -= 1
-            if not self._polled[endpoint.id]:
-                del self._polled[endpoint.id]
+            self._polls_in_progress[endpoint.id] -= 1
+            if not self._polls_in_progress[endpoint.id]:
+                del self._polls_in_progress[endpoint.id]
 
-    def _miss_report(self, owned: OwnedEndpoint, error: EndpointFailedError) -> None:
+    def _record_missed_report(
+        self, owned: OwnedEndpoint, error: EndpointFailedError
+    ) -> None:
         owned.missed_reports += 1
-        refused = isinstance(error, EndpointUnreachableError)
-        if not owned.up and refused:
-            self._blame(owned)
-        closed = not owned.up and refused
-        silent = owned.missed_reports >= MISSED_REPORTS_DOWN
-        if (closed or silent) and owned.window.limit > 0:
-            self._fail(owned)
-        if silent:
-            self._tell_lost(owned, restarted=False)
-
-    def _take_report(
-        self, endpoint: Endpoint, body: Mapping[str, object], asked_at: float
+        unreachable = isinstance(error, EndpointUnreachableError)
+        if not owned.up and unreachable:
+            self._report_suspects(owned)
+        confirmed_down = not owned.up and unreachable
+        unresponsive = owned.missed_reports >= MAX_MISSED_REPORTS
+        if (confirmed_down or unresponsive) and owned.window.limit > 0:
+            self._mark_down(owned)
+        if unresponsive:
+            self._notify_lost(owned, restarted=False)
+
+    def _apply_report(
+        self, endpoint: Endpoint, body: Mapping[str, object], requested_at: float
     ) -> None:
         owned = self._owned.get(endpoint.id)
         if owned is None:
@@ -491,18 +501,18 @@
         )
         owned.missed_reports = 0
         if owned.incarnation and report.incarnation != owned.incarnation:
-            self._blame(owned)
-            self._tell_lost(owned, restarted=True)
-        owned.crashed = {
-            fingerprint: run
-            for fingerprint, run in owned.crashed.items()
-            if run.told_at >= asked_at
+            self._report_suspects(owned)
+            self._notify_lost(owned, restarted=True)
+        owned.broken_requests = {
+            fingerprint: broken
+            for fingerprint, broken in owned.broken_requests.items()
+            if broken.reported_at >= requested_at
         }
         owned.incarnation = report.incarnation
         owned.window.on_report(self._timers.now(), report)
-        if not owned.up and not owned.crashed:
-            self._resume(owned)
-        self._grant(endpoint.pool)
+        if not owned.up and not owned.broken_requests:
+            self._mark_up(owned)
+        self._grant_slots(endpoint.pool)
 
 
 def _non_negative(value: object) -> float:
--- a/borageworks/router/ownership.py
+++ b/borageworks/router/ownership.py
@@ -1,4 +1,4 @@
-"""Which instance owns which endpoint; derived, never stored."""
+"""Ownership of endpoints, derived from the live members and never stored."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
     Parameters
     ----------
     owners
-        Instance by endpoint; endpoints without a reachable owner are absent.
+        Owner by endpoint id; an endpoint without a reachable owner is absent.
     pools
-        Endpoints by pool, of all that have an owner and take new work.
+        Endpoints with an owner that accept new work, by pool.
     """
 
     owners: Mapping[str, str]
@@ -34,41 +34,47 @@
         }
 
     def owners_for(self, instance: str, domain: str) -> dict[str, list[str]]:
-        """Return each pool's owners in the order in which an entry tells them.
+        """Return each pool's owners in the order in which an entry notifies them.
 
-        The instance itself comes first, since it costs no message, then owners in its
-        domain, then the others. Among equals each instance has an order of its own, so
-        that entry instances do not all start at the same owner.
+        The instance itself comes first, since it needs no network message, then owners
+        in its domain, then the others. Within each group the order differs between
+        instances, so that entry instances do not all start at the same owner.
         """
         result = {}
         for pool, endpoints in self.pools.items():
-            near = {self.owners[e.id] for e in endpoints if e.domain == domain}
-            far = {self.owners[e.id] for e in endpoints} - near
+            local = {
+                self.owners[endpoint.id]
+                for endpoint in endpoints
+                if endpoint.domain == domain
+            }
+            remote = {self.owners[endpoint.id] for endpoint in endpoints} - local
             key = f"{instance}/{pool}"
-            order = ranked(key, near) + ranked(key, far)
+            order = ranked(key, local) + ranked(key, remote)
             order.sort(key=lambda owner: owner != instance)
             result[pool] = order
         return result
 
 
-def derive(
+def derive_ownership(
     endpoints: Iterable[Endpoint], domains: Mapping[str, Iterable[str]]
 ) -> Ownership:
     """Return the ownership for the live, reachable members by domain.
 
-    An endpoint belongs to a member of its own domain; if that domain has no live member
-    but is reachable, to any live member, so that its capacity does not idle.
+    An endpoint is owned by a member of its own domain. If a reachable domain has no
+    live member, any live member may own its endpoints, so that their capacity is used.
     """
     members = {domain: sorted(names) for domain, names in domains.items()}
-    everyone = sorted(name for names in members.values() for name in names)
+    all_members = sorted(name for names in members.values() for name in names)
     owners: dict[str, str] = {}
     pools: dict[str, list[Endpoint]] = {}
     for endpoint in endpoints:
         if endpoint.state is EndpointState.LEAVING:
             continue
-        candidates = members.get(endpoint.domain) or everyone
+        candidates = members.get(endpoint.domain) or all_members
         owner = rendezvous(endpoint.id, candidates)
         if owner is not None:
             owners[endpoint.id] = owner
             pools.setdefault(endpoint.pool, []).append(endpoint)
-    return Ownership(owners, {pool: tuple(found) for pool, found in pools.items()})
+    return Ownership(
+        owners, {pool: tuple(pool_endpoints) for pool, pool_endpoints in pools.items()}
+    )
--- a/borageworks/router/router.py
+++ b/borageworks/router/router.py
@@ -1,4 +1,4 @@
-"""The daemon of one instance: joins the parts on one event loop."""
+"""A router instance: assembles its components on one event loop."""
 
 from __future__ import annotations
 
@@ -25,11 +25,11 @@
 from borageworks.membership.gossip import Gossip
 from borageworks.membership.member import Member
 from borageworks.metrics import Metrics
-from borageworks.router.at_most_once import Protected
+from borageworks.router.at_most_once import AtMostOnceRunner
 from borageworks.router.entry import Entry
 from borageworks.router.grants import GrantTable
 from borageworks.router.owner import Owner
-from borageworks.router.ownership import Ownership, derive
+from borageworks.router.ownership import Ownership, derive_ownership
 from borageworks.router.service_exchange import ServiceExchange
 from borageworks.store.etcd import EtcdStore
 from borageworks.timers import Subscription, Timers
@@ -61,12 +61,12 @@
 )
 
 GAUGE_INTERVAL_S = 1.0
-DRAIN_POLL_S = 0.05
+DRAIN_POLL_INTERVAL_S = 0.05
 MILLISECONDS_PER_SECOND = 1000
 
 
 class Router:
-    """One instance.
+    """A router instance.
 
     Parameters
     ----------
@@ -83,8 +83,8 @@
         self._transport = Transport()
         self._stopping = False
         self._unreachable_domains: set[str] = set()
-        self._derive_pending = False
-        self._owned_before = False
+        self._ownership_update_pending = False
+        self._could_own = False
         self._ownership = Ownership({}, {})
         self._subscriptions: list[Subscription] = []
         self._started_at = 0.0
@@ -96,11 +96,11 @@
 
     @property
     def address(self) -> tuple[str, int]:
-        """Bound address for callers."""
+        """Address on which callers' requests are accepted."""
         return self._server.address
 
     async def start(self) -> None:
-        """Start all parts on the running loop."""
+        """Start all components on the running loop."""
         settings = self._settings
         self._timers = Timers()
         self._started_at = self._timers.now()
@@ -112,15 +112,15 @@
             self._timers,
             self._metrics,
             self._deliver,
-            self._link_up,
-            self._link_lost,
+            self._on_link_up,
+            self._on_link_lost,
             self._rng,
         )
         await self._links.start()
-        self._build_parts()
+        self._build_components()
         self._entry.start()
         self._owner.start()
-        self._exchange.start()
+        self._service_exchange.start()
         await self._gossip.start()
         await self._catalog.start()
         await self._server.start()
@@ -135,13 +135,13 @@
         )
 
     async def stop(self) -> None:
-        """Stop gracefully: finish every request, then close all parts."""
+        """Stop gracefully: drain running requests, then stop all components."""
         self._stopping = True
         emit(Event.INSTANCE_STOPPING, instance=self._settings.instance)
         await asyncio.sleep(self._settings.shutdown.balancer_lag_s)
         self._gossip.leave()
         self._entry.drain()
-        self._derive()
+        self._update_ownership()
         await self._server.stop_accepting()
         await self._drain()
         for subscription in self._subscriptions:
@@ -149,7 +149,7 @@
         await self._server.stop()
         self._entry.stop()
         self._owner.stop()
-        self._exchange.stop()
+        self._service_exchange.stop()
         await self._claims.close()
         await self._catalog.stop()
         await self._gossip.stop()
@@ -159,14 +159,14 @@
         emit(Event.INSTANCE_STOPPED, instance=self._settings.instance)
 
     async def run(self, call: Call, sink: ResponseSink) -> None:
-        """Run a caller's request; see `Entry.run` and `Protected.run`."""
+        """Run a caller's request; see `Entry.run` and `AtMostOnceRunner.run`."""
         if call.service.idempotent:
             await self._entry.run(call, sink)
         else:
-            await self._protected.run(call, sink)
+            await self._at_most_once.run(call, sink)
 
     def lacking(self) -> list[str]:
-        """Return why the instance is not ready; empty when it is."""
+        """Return the reasons why the instance is not ready; empty if it is ready."""
         lacking = list(self._catalog.lacking)
         if self._stopping:
             lacking.append("the instance is stopping")
@@ -207,7 +207,7 @@
             ],
         }
 
-    def _build_parts(self) -> None:
+    def _build_components(self) -> None:
         settings = self._settings
         clients: dict[PoolKind, EndpointClient] = {
             PoolKind.ENGINE: EngineClient(self._transport, settings.fair),
@@ -226,7 +226,7 @@
             self._send,
             self._broadcast,
         )
-        self._exchange = ServiceExchange(
+        self._service_exchange = ServiceExchange(
             settings,
             self._incarnation,
             self._replica,
@@ -244,7 +244,7 @@
             self._send,
             lambda: [member.id for member in self._live_members()],
         )
-        self._protected = Protected(
+        self._at_most_once = AtMostOnceRunner(
             settings.claims, self._entry, self._claims, self._metrics, self._send
         )
         self._catalog = CatalogSync(
@@ -255,7 +255,7 @@
             self._metrics,
             self._send,
             self._live_members,
-            self._catalog_changed,
+            self._on_catalog_changed,
         )
         self._gossip = Gossip(
             settings,
@@ -265,16 +265,16 @@
             self._rng,
             self._links.address,
             self._replica.version,
-            self._member_changed,
-            self._domain_changed,
+            self._on_member_changed,
+            self._on_domain_changed,
             self._catalog.on_catalog_version,
-            self._paused,
+            self._on_pause,
         )
         self._server = Server(settings, self._replica, self, self._metrics)
 
     def _send(self, instance: str, message: Message) -> None:
         if instance == self._settings.instance:
-            # Delivered in the next loop turn, so that senders are not re-entered.
+            # Delivered in the next loop iteration, so that senders are not re-entered.
             asyncio.get_running_loop().call_soon(self._deliver, instance, message)
         else:
             self._links.send(instance, message, lazy=_is_lazy(message))
@@ -292,7 +292,7 @@
             case EndpointLost():
                 self._entry.receive_endpoint_lost(message)
             case AloneGrant():
-                self._entry.receive_alone_grant(sender, message)
+                self._entry.receive_isolated_grant(sender, message)
             case Suspect():
                 self._entry.receive_suspect(message)
             case Demand() | AloneDemand() | Release() | Charge() | Used() | Running():
@@ -300,18 +300,18 @@
             case Claim() | ClaimReply() | ClaimFinish():
                 self._claims.receive(sender, message)
             case HeldAnswerQuery() | HeldAnswerReply():
-                self._protected.receive(sender, message)
+                self._at_most_once.receive(sender, message)
             case ServiceReport() | ServiceError():
-                self._exchange.receive(sender, message)
+                self._service_exchange.receive(sender, message)
             case CatalogDigest() | CatalogPull() | CatalogObjects():
                 self._catalog.receive(sender, message)
             case _:
                 self._metrics.count("messages_unexpected", type(message).__name__)
 
-    def _link_up(self, instance: str) -> None:
+    def _on_link_up(self, instance: str) -> None:
         self._entry.link_up(instance)
 
-    def _link_lost(self, instance: str) -> None:
+    def _on_link_lost(self, instance: str) -> None:
         self._entry.link_lost(instance)
         self._owner.link_lost(instance)
 
@@ -323,43 +323,43 @@
             and member.domain not in self._unreachable_domains
         ]
 
-    def _member_changed(self, member: Member) -> None:
+    def _on_member_changed(self, member: Member) -> None:
         if member.id != self._settings.instance:
             if member.state is MemberState.DEAD:
                 self._links.remove(member.id)
-                self._exchange.member_dead(member.id)
+                self._service_exchange.remove_member(member.id)
             else:
                 self._links.set_address(member.id, member.host, member.peer_port)
-        self._schedule_derive()
+        self._schedule_ownership_update()
 
-    def _domain_changed(self, domain: str, reachable: bool) -> None:
+    def _on_domain_changed(self, domain: str, reachable: bool) -> None:
         if reachable:
             self._unreachable_domains.discard(domain)
         else:
             self._unreachable_domains.add(domain)
-        self._schedule_derive()
+        self._schedule_ownership_update()
 
-    def _catalog_changed(self, changed: list[Versioned]) -> None:
+    def _on_catalog_changed(self, changed: list[Versioned]) -> None:
         emit(
             Event.CATALOG_CHANGED,
             revision=self._replica.version()[0],
             objects=len(changed),
         )
         if any(item.kind != "organisation" for item in changed):
-            self._schedule_derive()
+            self._schedule_ownership_update()
 
-    def _paused(self) -> None:
-        """Give up all endpoints at once: others own them since the pause."""
+    def _on_pause(self) -> None:
+        """Give up all endpoints at once; others have taken them over in the pause."""
         self._owner.set_owned({})
 
-    def _schedule_derive(self) -> None:
-        if not self._derive_pending:
-            self._derive_pending = True
-            asyncio.get_running_loop().call_soon(self._derive)
+    def _schedule_ownership_update(self) -> None:
+        if not self._ownership_update_pending:
+            self._ownership_update_pending = True
+            asyncio.get_running_loop().call_soon(self._update_ownership)
 
-    def _derive(self) -> None:
-        """Derive the ownership anew and hand it to the entry and owner sides."""
-        self._derive_pending = False
+    def _update_ownership(self) -> None:
+        """Derive the ownership and apply it to the entry and owner sides."""
+        self._ownership_update_pending = False
         domains: dict[str, list[str]] = {}
         for member in self._live_members():
             if member.id == self._settings.instance and not self._may_own:
@@ -370,7 +370,7 @@
             for endpoint in self._replica.endpoints.values()
             if endpoint.domain not in self._unreachable_domains
         ]
-        self._ownership = derive(endpoints, domains)
+        self._ownership = derive_ownership(endpoints, domains)
         instance, domain = self._settings.instance, self._settings.domain
         self._owner.set_owned(self._ownership.owned_by(instance))
         self._entry.set_owners(
@@ -382,17 +382,17 @@
         return not self._stopping and self._gossip.confirmed
 
     async def _drain(self) -> None:
-        """Wait until every request has ended, within the drain timeout."""
+        """Wait until all requests have ended, up to the drain timeout."""
         deadline = self._timers.now() + self._settings.shutdown.drain_timeout_s
         while self._timers.now() < deadline:
             if self._entry.calls == 0:
                 return
-            await asyncio.sleep(DRAIN_POLL_S)
+            await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
 
     def _update_gauges(self, now: float) -> None:
-        if self._may_own != self._owned_before:
-            self._owned_before = self._may_own
-            self._derive()
+        if self._may_own != self._could_own:
+            self._could_own = self._may_own
+            self._update_ownership()
         usage = resource.getrusage(resource.RUSAGE_SELF)
         gauge = self._metrics.gauge
         sent = self._links.bytes_sent + self._gossip.bytes_sent
@@ -411,7 +411,7 @@
 
 
 def _is_lazy(message: Message) -> bool:
-    """Return whether a message only keeps books, so that it may wait for others."""
+    """Return whether a message is pure accounting and may be sent in a batch."""
     match message:
         case Charge() | Used() | ClaimFinish() | ServiceReport() | ServiceError():
             return True
--- a/borageworks/router/service_exchange.py
+++ b/borageworks/router/service_exchange.py
@@ -1,4 +1,4 @@
-"""Exchange of service received between owners, through one aggregator per pool."""
+"""Exchange of service counters among owners through one aggregator per pool."""
 
 from __future__ import annotations
 
@@ -20,53 +20,53 @@
 
 Send = Callable[[str, Message], None]
 
-# A report counts as demand until the second exchange after it was missed.
+# Demand expires at the second exchange after its report was missed.
 EXPIRY_EXCHANGES = 2.5
-# A timer that fires a little early must not plan its phase a second time.
-SHORTEST_DELAY_S = 0.05
-# Parts of the interval, by wall clock, at which owners report, aggregators exchange
-# sums and owners are told errors. With phases of each instance's own, aggregators
-# compared their domain's present with the others' past, and their errors for one
-# organisation differed by up to 350 units at a gap of 700. Clocks may differ by a
-# quarter of the interval.
-REPORT_PHASE = 0.0
-SUMS_PHASE = 0.25
-ERRORS_PHASE = 0.5
+# A timer that fires slightly early must not run its phase twice.
+MIN_DELAY_S = 0.05
+# Fractions of the exchange interval, by wall clock, at which owners report, aggregators
+# exchange sums and errors are sent to owners. If each instance chose its own phases,
+# aggregators would compare current sums of their domain with old sums of others; their
+# errors for one organisation then differed by up to 350 units at a gap of 700. Clocks
+# may differ by a quarter of the interval.
+REPORT_PHASE_RATIO = 0.0
+SUMS_PHASE_RATIO = 0.25
+ERRORS_PHASE_RATIO = 0.5
 
 
 @dataclass(slots=True)
 class _PoolState:
-    """What this owner reported of one pool and to whom."""
+    """Reports and corrections of one pool at this owner."""
 
     correction: DriftCorrection
     aggregator: str | None = None
     reported_backlog: set[str] = field(default_factory=set)
     served_total: float = 0.0
-    served_interval: float = 0.0
-    holders: dict[str, int] = field(default_factory=dict)
-    shares: float = 0.0
+    interval_units: float = 0.0
+    owner_counts: dict[str, int] = field(default_factory=dict)
+    backlogged_shares: float = 0.0
 
 
 class ServiceExchange:
-    """Reports this owner's counters, aggregates for its domain, applies corrections.
+    """Reports and aggregates service counters and applies corrections.
 
     Parameters
     ----------
     settings
         Exchange interval and correction gains.
     incarnation
-        Incarnation of this instance; its counters start at 0 with it.
+        Incarnation of this instance; service counters start at 0 in each.
     replica
-        Configuration in force, for shares.
+        Current configuration, for shares.
     owner
         Owner side of this instance.
     timers, metrics
-        Services of the process.
+        Timers and metrics of the process.
     send
-        Sends a message to an instance, also to this one.
+        Sends a message to any instance, including this one.
     members
         Returns the live, reachable members.
-    wall
+    wall_clock
         Returns Unix time in seconds.
     """
 
@@ -80,7 +80,7 @@
         metrics: Metrics,
         send: Send,
         members: Callable[[], Sequence[Member]],
-        wall: Callable[[], float] = time.time,
+        wall_clock: Callable[[], float] = time.time,
     ) -> None:
         self._settings = settings
         self._incarnation = incarnation
@@ -90,7 +90,7 @@
         self._metrics = metrics
         self._send = send
         self._members = members
-        self._wall = wall
+        self._wall_clock = wall_clock
         self._pools: dict[str, _PoolState] = {}
         self._aggregators: dict[str, Aggregator] = {}
         self._peers: dict[str, set[str]] = {}
@@ -98,17 +98,17 @@
 
     def start(self) -> None:
         """Subscribe to the timers."""
-        self._plan(REPORT_PHASE, self._report_all)
-        self._plan(SUMS_PHASE, self._tell_domains)
-        self._plan(ERRORS_PHASE, self._tell_errors)
+        self._schedule(REPORT_PHASE_RATIO, self._report_all)
+        self._schedule(SUMS_PHASE_RATIO, self._send_domain_sums)
+        self._schedule(ERRORS_PHASE_RATIO, self._send_errors)
 
     def stop(self) -> None:
         """Cancel the timers."""
         for subscription in self._subscriptions.values():
             subscription.cancel()
 
-    def member_dead(self, instance: str) -> None:
-        """Drop a dead owner's demand."""
+    def remove_member(self, instance: str) -> None:
+        """Remove a dead owner's demand."""
         for aggregator in self._aggregators.values():
             aggregator.remove_owner(instance)
 
@@ -118,23 +118,23 @@
             case ServiceReport():
                 self._aggregator(message.pool).report(self._timers.now(), message)
             case ServiceError():
-                self._correct(message)
+                self._apply_error(message)
 
-    def _plan(self, phase: float, action: Callable[[float], None]) -> None:
-        """Call `action` at its phase of each interval of the wall clock."""
+    def _schedule(self, phase_ratio: float, action: Callable[[float], None]) -> None:
+        """Call `action` at its phase of each exchange interval, by wall clock."""
         interval = self._settings.fair.exchange_interval_s
-        delay = (phase * interval - self._wall()) % interval
+        delay = (phase_ratio * interval - self._wall_clock()) % interval
 
         def run(now: float) -> None:
-            self._plan(phase, action)
+            self._schedule(phase_ratio, action)
             action(now)
 
-        self._subscriptions[phase] = self._timers.after(
-            delay if delay > SHORTEST_DELAY_S else delay + interval, run
+        self._subscriptions[phase_ratio] = self._timers.after(
+            delay if delay > MIN_DELAY_S else delay + interval, run
         )
 
     def _report_all(self, now: float) -> None:
-        domains = self._domains()
+        domains = self._members_by_domain()
         for name, pool in self._owner.pools.items():
             self._report(name, pool, domains)
         for name in [name for name in self._pools if name not in self._owner.pools]:
@@ -147,9 +147,9 @@
         if state is None:
             state = self._pools[name] = _PoolState(DriftCorrection(self._settings.fair))
         state.correction.end_exchange()
-        self._divide_shares(pool, state)
+        self._update_shares(pool, state)
         total = pool.served_total
-        state.served_interval = total - state.served_total
+        state.interval_units = total - state.served_total
         state.served_total = total
         aggregator = rendezvous(
             _aggregator_key(name), domains.get(self._settings.domain, [])
@@ -157,13 +157,13 @@
         if aggregator is None:
             return
         backlog = pool.queue.backlogged()
-        names = pool.take_changed() | backlog | state.reported_backlog
+        to_report = pool.take_changed() | backlog | state.reported_backlog
         if aggregator != state.aggregator:
-            # A new aggregator has none of the counters of its predecessor.
-            names |= pool.served.keys()
+            # A new aggregator does not have the counters sent to the previous one.
+            to_report |= pool.served.keys()
             state.aggregator = aggregator
         state.reported_backlog = backlog
-        for organisation in sorted(names):
+        for organisation in sorted(to_report):
             self._metrics.count("service_reports")
             self._send(
                 aggregator,
@@ -179,21 +179,21 @@
                 ),
             )
 
-    def _tell_errors(self, now: float) -> None:
+    def _send_errors(self, now: float) -> None:
         shares = {
             organisation.id: organisation.share
             for organisation in self._replica.organisations.values()
         }
         for aggregator in self._aggregators.values():
-            for action in aggregator.errors(now, shares):
-                for owner in action.owners:
-                    self._send(owner, action.error)
+            for notification in aggregator.errors(now, shares):
+                for owner in notification.owners:
+                    self._send(owner, notification.error)
 
-    def _tell_domains(self, now: float) -> None:
-        domains = self._domains()
+    def _send_domain_sums(self, now: float) -> None:
+        domains = self._members_by_domain()
         for pool, aggregator in self._aggregators.items():
             changed = aggregator.domain_reports()
-            known = self._peers.get(pool, set())
+            known_peers = self._peers.get(pool, set())
             peers = {
                 peer
                 for domain, members in domains.items()
@@ -201,33 +201,40 @@
                 and (peer := rendezvous(_aggregator_key(pool), members)) is not None
             }
             for peer in peers:
-                reports = changed if peer in known else aggregator.all_domain_reports()
+                reports = (
+                    changed if peer in known_peers else aggregator.all_domain_reports()
+                )
                 for report in reports:
                     self._send(peer, report)
             self._peers[pool] = peers
 
-    def _divide_shares(self, pool: OwnedPool, state: _PoolState) -> None:
-        """Apply the numbers of owners that the last exchange told."""
-        pool.set_holders(state.holders)
-        state.shares = 0.0
+    def _update_shares(self, pool: OwnedPool, state: _PoolState) -> None:
+        """Apply the owner counts received in the last exchange."""
+        pool.set_owner_counts(state.owner_counts)
+        state.backlogged_shares = 0.0
         for name in pool.queue.backlogged():
             organisation = self._replica.organisations.get(name)
             if organisation is not None:
                 pool.set_share(name, organisation.share)
-                state.shares += organisation.share / state.holders.get(name, 1)
-        state.holders = {}
+                state.backlogged_shares += organisation.share / state.owner_counts.get(
+                    name, 1
+                )
+        state.owner_counts = {}
 
-    def _correct(self, message: ServiceError) -> None:
+    def _apply_error(self, message: ServiceError) -> None:
         pool = self._owner.pools.get(message.pool)
         state = self._pools.get(message.pool)
         if pool is None or state is None:
             return
-        state.holders[message.organisation] = max(1, message.owners)
-        if state.shares <= 0:
+        state.owner_counts[message.organisation] = max(1, message.owners)
+        if state.backlogged_shares <= 0:
             return
-        # Shares are divided by the owners, so the correction is not divided again.
+        # Shares are already divided by the owner count, so the correction is not.
         delta = state.correction.update(
-            message.organisation, message.error, 1, state.served_interval / state.shares
+            message.organisation,
+            message.error,
+            1,
+            state.interval_units / state.backlogged_shares,
         )
         if delta:
             self._metrics.count("corrections")
@@ -243,7 +250,7 @@
             )
         return aggregator
 
-    def _domains(self) -> dict[str, list[str]]:
+    def _members_by_domain(self) -> dict[str, list[str]]:
         domains: dict[str, list[str]] = {}
         for member in self._members():
             domains.setdefault(member.domain, []).append(member.id)
--- a/borageworks/router/tee.py
+++ b/borageworks/router/tee.py
@@ -1,4 +1,4 @@
-"""Sink that passes an answer on and keeps a copy."""
+"""Sink that forwards a response and retains a copy."""
 
 from __future__ import annotations
 
@@ -7,24 +7,24 @@
 
 
 class TeeSink:
-    """Copies an answer while it is passed to the caller.
+    """Copies a response while it is forwarded to the caller.
 
-    A caller that leaves does not stop the copy: the answer of a non-idempotent request
-    is kept for a resend.
+    Copying continues after the caller has disconnected, since the response of a
+    non-idempotent request is retained for resends.
 
     Parameters
     ----------
     sink
         Sink of the caller.
     limit_bytes
-        Larger answers are passed on and not kept.
+        Maximum body size of a copy; larger responses are only forwarded.
     """
 
     def __init__(self, sink: Sink, limit_bytes: int) -> None:
         self._sink = sink
-        self._limit = limit_bytes
-        self._parts: list[bytes] = []
-        self._size = 0
+        self._limit_bytes = limit_bytes
+        self._chunks: list[bytes] = []
+        self._size_bytes = 0
         self._status = 0
         self._content_type = ""
         self._caller_error: CallerFailedError | None = None
@@ -36,26 +36,26 @@
 
     @property
     def caller_error(self) -> CallerFailedError | None:
-        """Why the caller got only a part, None if it got all."""
+        """Why the caller received an incomplete response; None if complete."""
         return self._caller_error
 
     @property
     def status(self) -> int:
-        """HTTP status of the answer."""
+        """HTTP status of the response."""
         return self._status
 
     @property
     def content_type(self) -> str:
-        """Content type of the answer."""
+        """Content type of the response."""
         return self._content_type
 
     @property
     def body(self) -> bytes | None:
-        """Copy of the body, None if it is over the limit."""
-        return None if self._size > self._limit else b"".join(self._parts)
+        """Copy of the body; None if it exceeds the limit."""
+        return None if self._size_bytes > self._limit_bytes else b"".join(self._chunks)
 
     async def start(self, status: int, headers: Headers) -> None:
-        """Send status and headers."""
+        """Forward the status and headers and record them."""
         self._status = status
         self._content_type = next(
             (value for name, value in headers if name.lower() == "content-type"), ""
@@ -67,12 +67,12 @@
                 self._caller_error = error
 
     async def write(self, data: bytes) -> None:
-        """Send and copy a part of the body."""
-        self._size += len(data)
-        if self._size <= self._limit:
-            self._parts.append(data)
+        """Forward and copy a chunk of the body."""
+        self._size_bytes += len(data)
+        if self._size_bytes <= self._limit_bytes:
+            self._chunks.append(data)
         else:
-            self._parts.clear()
+            self._chunks.clear()
         if self._caller_error is None:
             try:
                 await self._sink.write(data)
@@ -80,7 +80,7 @@
                 self._caller_error = error
 
     async def finish(self) -> None:
-        """Send the end marker."""
+        """Mark the forwarded response as complete."""
         if self._caller_error is None:
             try:
                 await self._sink.finish()
--- a/borageworks/router/tests/harness.py
+++ b/borageworks/router/tests/harness.py
@@ -24,7 +24,7 @@
 from borageworks.router.entry import Entry
 from borageworks.router.grants import GrantTable
 from borageworks.router.owner import Owner
-from borageworks.router.ownership import derive
+from borageworks.router.ownership import derive_ownership
 from borageworks.timers import Timers
 from borageworks.wire.messages import (
     AloneDemand,
@@ -44,7 +44,7 @@
 
 
 def settings_for(instance: str, **sections: Any) -> Settings:
-    """Return settings of an instance whose addresses are not used."""
+    """Return settings for an instance that opens no sockets."""
     address = {"host": "127.0.0.1", "port": 0}
     return Settings.model_validate(
         {
@@ -95,14 +95,14 @@
 
 
 class FakeEndpoints:
-    """Client and load reports of endpoints that run scripted requests."""
+    """Endpoint client and load reports of simulated endpoints."""
 
     def __init__(self) -> None:
-        self.ran: list[tuple[str, str]] = []
-        self.peak: Counter[str] = Counter()
+        self.runs: list[tuple[str, str]] = []
+        self.peak_running: Counter[str] = Counter()
         self.running: dict[str, set[str]] = defaultdict(set)
         self.incarnations: Counter[str] = Counter()
-        self.poison: bytes | None = None
+        self.poison_body: bytes | None = None
         self.down: set[str] = set()
         self.behaviour: Callable[[str, Call], Awaitable[None]] | None = None
 
@@ -120,22 +120,24 @@
     async def exchange(
         self, endpoint: Endpoint, call: Call, sink: Any, progress: Any
     ) -> Exchange:
-        """Run a request; a poisoned body restarts the endpoint under all it runs."""
+        """Run a request; the poison body crashes the endpoint and all its requests."""
         if endpoint.id in self.down:
             raise EndpointUnreachableError(endpoint.id)
         progress.sent = True
         incarnation = self.incarnations[endpoint.id]
         running = self.running[endpoint.id]
         running.add(call.request_id)
-        self.peak[endpoint.id] = max(self.peak[endpoint.id], len(running))
-        self.ran.append((endpoint.id, call.request_id))
+        self.peak_running[endpoint.id] = max(
+            self.peak_running[endpoint.id], len(running)
+        )
+        self.runs.append((endpoint.id, call.request_id))
         try:
             if self.behaviour is not None:
                 await self.behaviour(endpoint.id, call)
             else:
                 await asyncio.sleep(0.01)
-            poisoned = self.poison is not None and call.body == self.poison
-            if poisoned and self.incarnations[endpoint.id] == incarnation:
+            crashes = self.poison_body is not None and call.body == self.poison_body
+            if crashes and self.incarnations[endpoint.id] == incarnation:
                 self.incarnations[endpoint.id] += 1
             if self.incarnations[endpoint.id] != incarnation:
                 raise EndpointDisconnectedError(endpoint.id)
@@ -145,13 +147,13 @@
 
 
 class FakeSink:
-    """Sink that never starts, as for a buffered answer."""
+    """Sink that never starts, as for a buffered response."""
 
     started = False
 
 
 class FakeInstance:
-    """Entry and owner side of one instance."""
+    """Entry and owner sides of one instance."""
 
     def __init__(
         self, network: FakeNetwork, name: str, replica: Replica, **sections: Any
@@ -186,7 +188,7 @@
         self.owner.start()
 
     def receive(self, sender: str, message: Any) -> None:
-        """Hand a message to the side that it is for."""
+        """Pass a message to the entry or owner side."""
         match message:
             case Grant():
                 self.entry.receive_grant(sender, message)
@@ -195,7 +197,7 @@
             case EndpointLost():
                 self.entry.receive_endpoint_lost(message)
             case AloneGrant():
-                self.entry.receive_alone_grant(sender, message)
+                self.entry.receive_isolated_grant(sender, message)
             case Suspect():
                 self.entry.receive_suspect(message)
             case _:
@@ -209,13 +211,13 @@
 
 
 class FakeNetwork:
-    """Delivers messages in order in the next loop turn; links can be cut."""
+    """Delivers messages between connected instances in the next loop iteration."""
 
     def __init__(self, replica: Replica, names: str, **sections: Any) -> None:
         self.endpoints = FakeEndpoints()
         self.replica = replica
         self.sent: Counter[str] = Counter()
-        self.cut: set[str] = set()
+        self.disconnected: set[str] = set()
         self.errors: list[dict[str, Any]] = []
         asyncio.get_running_loop().set_exception_handler(
             lambda _loop, context: self.errors.append(context)
@@ -223,18 +225,20 @@
         self.instances: dict[str, FakeInstance] = {}
         for name in names:
             self.instances[name] = FakeInstance(self, name, replica, **sections)
-        self.derive(names)
+        self.update_ownership(names)
 
     def send(self, sender: str, target: str, message: Any) -> None:
-        """Deliver a message unless one side is cut off."""
+        """Deliver a message unless either instance is disconnected."""
         self.sent[type(message).__name__] += 1
         asyncio.get_running_loop().call_soon(self._deliver, sender, target, message)
 
-    def derive(self, live: str) -> None:
-        """Give every instance that is not cut off the ownership of the live ones."""
-        ownership = derive(self.replica.endpoints.values(), {"d1": list(live)})
+    def update_ownership(self, live: str) -> None:
+        """Apply the ownership among `live` to all instances not disconnected."""
+        ownership = derive_ownership(
+            self.replica.endpoints.values(), {"d1": list(live)}
+        )
         for name, instance in self.instances.items():
-            if name in self.cut:
+            if name in self.disconnected:
                 continue
             instance.owner.set_owned(ownership.owned_by(name))
             instance.entry.set_owners(
@@ -242,11 +246,11 @@
             )
 
     def kill(self, name: str) -> None:
-        """Cut an instance off and tell the others that their links are lost."""
-        self.cut.add(name)
+        """Disconnect an instance and notify the others of the lost links."""
+        self.disconnected.add(name)
         self.instances[name].stop()
         for other, instance in self.instances.items():
-            if other not in self.cut:
+            if other not in self.disconnected:
                 instance.entry.link_lost(name)
                 instance.owner.link_lost(name)
 
@@ -274,5 +278,5 @@
             raise AssertionError(self.errors)
 
     def _deliver(self, sender: str, target: str, message: Any) -> None:
-        if sender not in self.cut and target not in self.cut:
+        if sender not in self.disconnected and target not in self.disconnected:
             self.instances[target].receive(sender, message)
--- a/borageworks/router/tests/test_service_exchange.py
+++ b/borageworks/router/tests/test_service_exchange.py
@@ -1,4 +1,4 @@
-"""Tests of the exchange of service between owners."""
+"""Tests of the service exchange between owners."""
 
 from typing import Any
 
@@ -11,38 +11,38 @@
 
 
 class FakeTimers:
-    """Records planned calls; `fire` makes the next one at its time."""
+    """Records scheduled calls; `fire` advances the clock and runs the next one."""
 
-    def __init__(self, wall):
-        self.wall = wall
-        self.planned: list[tuple[float, Any]] = []
+    def __init__(self, wall_time):
+        self.wall_time = wall_time
+        self.scheduled: list[tuple[float, Any]] = []
 
     def clock(self):
-        return self.wall
+        return self.wall_time
 
     def after(self, delay, callback):
-        self.planned.append((self.wall + delay, callback))
+        self.scheduled.append((self.wall_time + delay, callback))
 
     def fire(self):
-        self.planned.sort(key=lambda item: item[0])
-        self.wall, callback = self.planned.pop(0)
+        self.scheduled.sort(key=lambda item: item[0])
+        self.wall_time, callback = self.scheduled.pop(0)
         callback(0.0)
-        return self.wall
+        return self.wall_time
 
 
 class IdleOwner:
-    """Owner side without a pool."""
+    """Owner side without pools."""
 
     def __init__(self):
         self.pools: dict[str, Any] = {}
 
 
 class ExchangePhaseTest(testtools.TestCase):
-    def test_instances_that_started_at_any_time_share_the_phases(self):
-        """Guards against aggregators that compare different moments."""
-        moments = []
-        for started in (1003.0, 1000.0, 1001.9, 1003.97):
-            timers: Any = FakeTimers(started)
+    def test_instances_started_at_different_times_share_phases(self):
+        """Guards against aggregators comparing sums taken at different times."""
+        fire_times = []
+        for started_at in (1003.0, 1000.0, 1001.9, 1003.97):
+            timers: Any = FakeTimers(started_at)
             owner: Any = IdleOwner()
             exchange = ServiceExchange(
                 settings_for("x"),
@@ -56,9 +56,11 @@
                 timers.clock,
             )
             exchange.start()
-            fired = [round(timers.fire(), 3) for _ in range(12)]
-            self.assertTrue(all(moment % 4 in (0, 1, 2) for moment in fired), fired)
-            self.assertEqual(len(set(fired)), len(fired))
-            moments.append({moment for moment in fired if moment > 1008})
-        common = set.intersection(*moments)
-        self.assertTrue(len(common) >= 4, moments)
+            fired_at = [round(timers.fire(), 3) for _ in range(12)]
+            self.assertTrue(
+                all(fire_time % 4 in (0, 1, 2) for fire_time in fired_at), fired_at
+            )
+            self.assertEqual(len(set(fired_at)), len(fired_at))
+            fire_times.append({fire_time for fire_time in fired_at if fire_time > 1008})
+        common_times = set.intersection(*fire_times)
+        self.assertTrue(len(common_times) >= 4, fire_times)
--- a/borageworks/router/usage.py
+++ b/borageworks/router/usage.py
@@ -1,4 +1,4 @@
-"""Service received on kept standing slots, reported in batches."""
+"""Usage of retained standing slots, reported in batches."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 @dataclass(slots=True)
-class _Sum:
+class _Total:
     units: float = 0.0
     requests: int = 0
 
@@ -19,7 +19,7 @@
     """Units and ended requests by (owner, pool, organisation) since the last report."""
 
     def __init__(self) -> None:
-        self._sums: dict[UsageKey, _Sum] = {}
+        self._totals: dict[UsageKey, _Total] = {}
 
     def add(
         self, owner: str, pool: str, organisation: str, units: float, requests: int
@@ -27,14 +27,14 @@
         """Add service units and ended requests."""
         if units <= 0 and not requests:
             return
-        total = self._sums.setdefault((owner, pool, organisation), _Sum())
+        total = self._totals.setdefault((owner, pool, organisation), _Total())
         total.units += units
         total.requests += requests
 
     def take(self) -> list[tuple[str, Used]]:
-        """Return and forget what is to be reported to each owner."""
-        sums, self._sums = self._sums, {}
+        """Return the usage to report to each owner, and reset it."""
+        totals, self._totals = self._totals, {}
         return [
             (owner, Used(pool, organisation, total.units, total.requests))
-            for (owner, pool, organisation), total in sums.items()
+            for (owner, pool, organisation), total in totals.items()
         ]
