--- a/borageworks/api/backend.py
+++ b/borageworks/api/backend.py
@@ -14,7 +14,7 @@
     async def run(self, call: Call, sink: ResponseSink) -> None:
         """Run a call and write its response to `sink`, or raise RefusalError."""
 
-    def lacking(self) -> list[str]:
+    def readiness_blockers(self) -> list[str]:
         """Return the reasons why the instance is not ready; empty if it is ready."""
 
     def status(self) -> dict[str, Any]:
--- a/borageworks/api/server.py
+++ b/borageworks/api/server.py
@@ -220,14 +220,16 @@
     def _authenticate(self, request: web.Request) -> Organisation:
         if not self._replica.organisations:
             # Without a configuration every key would be refused as unknown.
-            reasons = self._backend.lacking() or ["no organisation is configured"]
+            reasons = self._backend.readiness_blockers() or [
+                "no organisation is configured"
+            ]
             raise InstanceNotReadyError("; ".join(reasons), retry_after=1.0)
         return authenticate(request, self._replica)
 
     def _find_service(
         self, service_id: str, organisation: Organisation, kind: PoolKind
     ) -> Service:
-        reasons = self._backend.lacking()
+        reasons = self._backend.readiness_blockers()
         service = self._replica.services.get(service_id)
         if service is None and reasons:
             raise InstanceNotReadyError("; ".join(reasons), retry_after=1.0)
@@ -269,7 +271,7 @@
         return pool is not None and pool.endpoints == PoolKind.ENGINE
 
     async def _readiness(self, request: web.Request) -> web.StreamResponse:
-        reasons = self._backend.lacking()
+        reasons = self._backend.readiness_blockers()
         return _json_response(
             {"ready": not reasons, "lacking": reasons}, status=503 if reasons else 200
         )
--- a/borageworks/api/tests/test_server.py
+++ b/borageworks/api/tests/test_server.py
@@ -16,7 +16,7 @@
 from borageworks.api.server import Server
 from borageworks.catalog.objects import Organisation, Pool, PoolKind, Service
 from borageworks.catalog.replica import Replica
-from borageworks.catalog.versioned import Versioned
+from borageworks.catalog.versioned_object import VersionedObject
 from borageworks.endpoints.stream import StreamDecoder
 from borageworks.exceptions import (
     BodyMalformedError,
@@ -51,7 +51,7 @@
         await sink.write(b"{}")
         await sink.finish()
 
-    def lacking(self):
+    def readiness_blockers(self):
         return self.not_ready_reasons
 
     def status(self):
@@ -68,7 +68,7 @@
         Service(id="other", pool="engines", organisations=("b",)),
         Service(id="desk", pool="desks"),
     ]
-    filled.merge(Versioned(item.kind, item.id, 1, item) for item in objects)
+    filled.merge(VersionedObject(item.kind, item.id, 1, item) for item in objects)
     return filled
 
 
--- a/borageworks/catalog/bucket.py
+++ b/borageworks/catalog/bucket.py
@@ -10,7 +10,11 @@
 import orjson
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
-from borageworks.catalog.versioned import Versioned, VersionedDocument, first_error
+from borageworks.catalog.versioned_object import (
+    VersionedDocument,
+    VersionedObject,
+    first_error,
+)
 from borageworks.exceptions import StoreReplyMalformedError
 
 # At level 6 the result consists mostly of API key hashes, which are incompressible.
@@ -19,7 +23,7 @@
 # Limits the memory that a corrupt or foreign value can take when it is decompressed.
 DOCUMENT_LIMIT_BYTES = 64 * 1_048_576
 
-VersionedLookup = Callable[[str, str], Versioned | None]
+VersionedLookup = Callable[[str, str], VersionedObject | None]
 
 
 class _BucketDocument(BaseModel):
@@ -53,7 +57,7 @@
     """
 
     tickets: int = 0
-    objects: tuple[Versioned, ...] = ()
+    objects: tuple[VersionedObject, ...] = ()
     mod_revision: int = 0
 
     def encode(self) -> bytes:
@@ -64,7 +68,7 @@
         """
         document = {
             "tickets": self.tickets,
-            "objects": [item.record() for item in self.objects],
+            "objects": [item.to_document() for item in self.objects],
         }
         return zlib.compress(orjson.dumps(document), COMPRESSION_LEVEL)
 
@@ -125,7 +129,7 @@
     return text
 
 
-def _decode_object(item: dict[str, Any], lookup: VersionedLookup) -> Versioned:
+def _decode_object(item: dict[str, Any], lookup: VersionedLookup) -> VersionedObject:
     identity = item.get("put") or item.get("delete")
     if isinstance(identity, dict):
         kind, object_id = identity.get("kind"), identity.get("id")
--- a/borageworks/catalog/buckets.py
+++ b/borageworks/catalog/bucket_hash.py
@@ -6,12 +6,12 @@
 
 # 28,000 organisations give about 440 objects per bucket, far below the store's value
 # size limit. A ticket that changes one object rewrites 1/64 of the configuration.
-BUCKETS = 64
+BUCKET_COUNT = 64
 
 
 def bucket_of(kind: str, object_id: str) -> int:
     """Return the index of the bucket that holds an object."""
-    return xxhash.xxh3_64_intdigest(f"{kind}\0{object_id}".encode()) % BUCKETS
+    return xxhash.xxh3_64_intdigest(f"{kind}\0{object_id}".encode()) % BUCKET_COUNT
 
 
 def version_hash(kind: str, object_id: str, ticket: int) -> int:
--- a/borageworks/catalog/follower.py
+++ b/borageworks/catalog/follower.py
@@ -6,12 +6,12 @@
 from collections.abc import AsyncGenerator, Callable, Iterable
 
 from borageworks.catalog.bucket import Bucket
-from borageworks.catalog.buckets import BUCKETS
+from borageworks.catalog.bucket_hash import BUCKET_COUNT
 from borageworks.catalog.head import Head
 from borageworks.catalog.keys import CATALOG_PREFIX, CatalogKeys
 from borageworks.catalog.replica import Replica
-from borageworks.catalog.state import read_state
-from borageworks.catalog.versioned import Versioned
+from borageworks.catalog.stored_state import read_state
+from borageworks.catalog.versioned_object import VersionedObject
 from borageworks.exceptions import StoreReplyMalformedError, StoreUnavailableError
 from borageworks.store.store import Store
 
@@ -47,8 +47,8 @@
         self,
         store: Store,
         replica: Replica,
-        merge: Callable[[Iterable[Versioned]], list[Versioned]],
-        push: Callable[[list[Versioned]], None],
+        merge: Callable[[Iterable[VersionedObject]], list[VersionedObject]],
+        push: Callable[[list[VersionedObject]], None],
     ) -> None:
         self._store = store
         self._replica = replica
@@ -56,7 +56,7 @@
         self._push = push
         self._keys = CatalogKeys(CATALOG_PREFIX)
         # Ticket count of each bucket as last read from the store.
-        self._read_ticket_counts = [0] * BUCKETS
+        self._read_ticket_counts = [0] * BUCKET_COUNT
 
     async def follow(self, revision: int) -> None:
         """Watch the head after a store revision and read the buckets that changed."""
@@ -93,7 +93,7 @@
         """Read the configuration in one call; return the store's revision."""
         was_complete = bool(self._replica.revision)
         state = await read_state(self._store, self._keys, lookup=self._replica.get)
-        changed: list[Versioned] = []
+        changed: list[VersionedObject] = []
         for bucket in state.buckets:
             changed += self._merge(bucket.objects)
             # Merging 28,000 organisations in one step blocks the event loop for 0.15 s.
--- a/borageworks/catalog/head.py
+++ b/borageworks/catalog/head.py
@@ -7,7 +7,7 @@
 import orjson
 from pydantic import BaseModel, ConfigDict, Field, ValidationError
 
-from borageworks.catalog.buckets import BUCKETS
+from borageworks.catalog.bucket_hash import BUCKET_COUNT
 from borageworks.exceptions import StoreReplyMalformedError
 
 Count = Annotated[int, Field(ge=0, lt=1 << 63)]
@@ -23,7 +23,7 @@
     previous
         Store revision of the head before this one, 0 for the first.
     buckets
-        Value of `tickets` when each bucket last changed, shape (BUCKETS,); shows a
+        Value of `tickets` when each bucket last changed, shape (BUCKET_COUNT,); shows a
         watcher which buckets to read.
     """
 
@@ -32,7 +32,7 @@
     tickets: Count = 0
     previous: Count = 0
     buckets: tuple[Count, ...] = Field(
-        default=(0,) * BUCKETS, min_length=BUCKETS, max_length=BUCKETS
+        default=(0,) * BUCKET_COUNT, min_length=BUCKET_COUNT, max_length=BUCKET_COUNT
     )
 
     def encode(self) -> bytes:
--- a/borageworks/catalog/plan.py
+++ b/borageworks/catalog/plan.py
@@ -9,7 +9,7 @@
 
 import orjson
 
-from borageworks.catalog.buckets import bucket_of
+from borageworks.catalog.bucket_hash import bucket_of
 from borageworks.catalog.objects import (
     CatalogObject,
     Endpoint,
@@ -18,7 +18,7 @@
     Service,
     Ticket,
 )
-from borageworks.catalog.versioned import Versioned
+from borageworks.catalog.versioned_object import VersionedObject
 from borageworks.catalog.view import CatalogView
 from borageworks.exceptions import TicketConflictError, TicketInvalidError
 
@@ -43,7 +43,7 @@
 
     number: int
     digest: str
-    changes: tuple[Versioned, ...] = ()
+    changes: tuple[VersionedObject, ...] = ()
     replayed_revision: int | None = None
 
     @property
@@ -95,10 +95,12 @@
     if reasons:
         raise TicketInvalidError(tuple(reasons))
     changes = [
-        Versioned(value.kind, value.id, ticket.number, value) for value in ticket.put
+        VersionedObject(value.kind, value.id, ticket.number, value)
+        for value in ticket.put
     ]
     changes += [
-        Versioned(item.kind, item.id, ticket.number, None) for item in ticket.delete
+        VersionedObject(item.kind, item.id, ticket.number, None)
+        for item in ticket.delete
     ]
     return TicketPlan(ticket.number, digest, tuple(changes))
 
--- a/borageworks/catalog/replica.py
+++ b/borageworks/catalog/replica.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Iterable, Mapping
 
-from borageworks.catalog.buckets import BUCKETS, bucket_of, version_hash
+from borageworks.catalog.bucket_hash import BUCKET_COUNT, bucket_of, version_hash
 from borageworks.catalog.objects import Endpoint, Organisation, Pool, Service
 from borageworks.catalog.replica_digest import ReplicaDigest
-from borageworks.catalog.versioned import Versioned
+from borageworks.catalog.versioned_object import VersionedObject
 
 ObjectKey = tuple[str, str]
 
@@ -22,8 +22,10 @@
     """
 
     def __init__(self) -> None:
-        self._buckets: list[dict[ObjectKey, Versioned]] = [{} for _ in range(BUCKETS)]
-        self._hashes = [0] * BUCKETS
+        self._buckets: list[dict[ObjectKey, VersionedObject]] = [
+            {} for _ in range(BUCKET_COUNT)
+        ]
+        self._hashes = [0] * BUCKET_COUNT
         self._content_hash = 0
         self._revision = 0
         self._organisations: dict[str, Organisation] = {}
@@ -60,7 +62,7 @@
         """Endpoints by id."""
         return self._endpoints
 
-    def get(self, kind: str, object_id: str) -> Versioned | None:
+    def get(self, kind: str, object_id: str) -> VersionedObject | None:
         """Return the state of one object or its tombstone, None if never seen."""
         return self._buckets[bucket_of(kind, object_id)].get((kind, object_id))
 
@@ -80,7 +82,7 @@
         """Return the endpoints of a pool."""
         return tuple(self._endpoints_by_pool.get(pool, {}).values())
 
-    def bucket(self, index: int) -> list[Versioned]:
+    def bucket(self, index: int) -> list[VersionedObject]:
         """Return the objects and tombstones of one bucket."""
         return list(self._buckets[index].values())
 
@@ -106,7 +108,7 @@
         """Record that this replica is complete up to a store revision."""
         self._revision = max(self._revision, revision)
 
-    def merge(self, objects: Iterable[Versioned]) -> list[Versioned]:
+    def merge(self, objects: Iterable[VersionedObject]) -> list[VersionedObject]:
         """Apply each state with a higher ticket number; return the applied states."""
         changed = []
         for item in objects:
@@ -130,7 +132,7 @@
         state = self.get("organisation", organisation)
         return (0 if state is None else state.ticket), organisation
 
-    def _add(self, item: Versioned) -> None:
+    def _add(self, item: VersionedObject) -> None:
         match item.value:
             case Organisation() as organisation:
                 self._organisations[organisation.id] = organisation
@@ -152,7 +154,7 @@
             case None:
                 pass
 
-    def _remove(self, item: Versioned) -> None:
+    def _remove(self, item: VersionedObject) -> None:
         match item.value:
             case Organisation() as organisation:
                 del self._organisations[organisation.id]
--- a/borageworks/catalog/replica_digest.py
+++ b/borageworks/catalog/replica_digest.py
@@ -14,7 +14,7 @@
     revision
         Store revision up to which the replica is known to be complete, 0 if unknown.
     hashes
-        One order-independent 64-bit hash per bucket, shape (BUCKETS,).
+        One order-independent 64-bit hash per bucket, shape (BUCKET_COUNT,).
     """
 
     revision: int
--- a/borageworks/catalog/state.py
+++ b/borageworks/catalog/stored_state.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass, field
 
 from borageworks.catalog.bucket import Bucket, VersionedLookup
-from borageworks.catalog.buckets import BUCKETS
+from borageworks.catalog.bucket_hash import BUCKET_COUNT
 from borageworks.catalog.head import Head
 from borageworks.catalog.keys import CatalogKeys
-from borageworks.catalog.versioned import Versioned
+from borageworks.catalog.versioned_object import VersionedObject
 from borageworks.store.store import Store
 
 
@@ -24,10 +24,10 @@
 
     head: Head = field(default_factory=Head)
     head_revision: int = 0
-    buckets: tuple[Bucket, ...] = (Bucket(),) * BUCKETS
+    buckets: tuple[Bucket, ...] = (Bucket(),) * BUCKET_COUNT
     read_revision: int = 0
 
-    def objects(self) -> Iterator[Versioned]:
+    def objects(self) -> Iterator[VersionedObject]:
         """Yield the objects and tombstones of all buckets."""
         for bucket in self.buckets:
             yield from bucket.objects
--- a/borageworks/catalog/sync.py
+++ b/borageworks/catalog/sync.py
@@ -13,11 +13,11 @@
     Sequence,
 )
 
-from borageworks.catalog.buckets import BUCKETS, bucket_of
+from borageworks.catalog.bucket_hash import BUCKET_COUNT, bucket_of
 from borageworks.catalog.follower import StoreFollower
 from borageworks.catalog.replica import Replica
 from borageworks.catalog.replica_digest import ReplicaDigest
-from borageworks.catalog.versioned import Versioned
+from borageworks.catalog.versioned_object import VersionedObject
 from borageworks.catalog.watchers import FleetMember, select_watchers
 from borageworks.config.settings import Settings
 from borageworks.events import Event, emit
@@ -115,7 +115,7 @@
         metrics: Metrics,
         send: Callable[[str, Message], None],
         members: Callable[[], Sequence[FleetMember]],
-        on_change: Callable[[list[Versioned]], None],
+        on_change: Callable[[list[VersionedObject]], None],
         rng: random.Random | None = None,
     ) -> None:
         self._settings = settings
@@ -133,24 +133,24 @@
         self._reply_task: asyncio.Task[None] | None = None
         # Versions reported in heartbeats by peers whose replica differs.
         self._differing_versions: dict[str, tuple[int, int]] = {}
-        self._recent_changes: deque[Versioned] = deque(maxlen=RECENT_CHANGES)
+        self._recent_changes: deque[VersionedObject] = deque(maxlen=RECENT_CHANGES)
         self._pending_replies: dict[tuple[str, int], None] = {}
         self._store_call_failed = False
         # Time from which each peer with an older revision has differed.
         self._lagging_since: dict[str, float] = {}
-        self._pull_timeout_at = [0.0] * BUCKETS
+        self._pull_timeout_at = [0.0] * BUCKET_COUNT
         self._digest_sent_at: dict[str, float] = {}
         self._last_change_at = 0.0
         self._last_exchange_at = 0.0
 
     @property
-    def lacking(self) -> tuple[str, ...]:
+    def readiness_blockers(self) -> tuple[str, ...]:
         """What this instance lacks to become ready; empty if nothing."""
         if self._replica.revision:
             return ()
         if self._store_call_failed:
-            return ("configuration: the store does not reply and no peer has sent it",)
-        return ("configuration: being loaded",)
+            return ("configuration: the store does not answer and no peer sent one",)
+        return ("configuration: it is being loaded",)
 
     @property
     def watching(self) -> bool:
@@ -210,7 +210,7 @@
 
     def _handle_objects(self, sender: str, message: CatalogObjects) -> None:
         try:
-            objects = [Versioned.decode(data) for data in message.objects]
+            objects = [VersionedObject.decode(data) for data in message.objects]
         except MessageMalformedError:
             self._metrics.count("catalog_malformed", "CatalogObjects")
             return
@@ -222,7 +222,7 @@
             self._push(changed, sender)
 
     def _handle_digest(self, sender: str, message: CatalogDigest) -> None:
-        if len(message.buckets) != BUCKETS:
+        if len(message.buckets) != BUCKET_COUNT:
             self._metrics.count("catalog_malformed", "CatalogDigest")
             return
         peer_digest = ReplicaDigest(message.revision, message.buckets)
@@ -272,7 +272,7 @@
             self._send_objects(peer, message)
 
     def _handle_pull(self, sender: str, message: CatalogPull) -> None:
-        indexes = [index for index in message.buckets if 0 <= index < BUCKETS]
+        indexes = [index for index in message.buckets if 0 <= index < BUCKET_COUNT]
         if len(indexes) != len(message.buckets):
             self._metrics.count("catalog_malformed", "CatalogPull")
         for index in indexes:
@@ -281,7 +281,7 @@
         if self._pending_replies and not replying and self._subscriptions:
             self._reply_task = self._spawn(self._reply())
 
-    def _merge(self, objects: Iterable[Versioned]) -> list[Versioned]:
+    def _merge(self, objects: Iterable[VersionedObject]) -> list[VersionedObject]:
         changed = self._replica.merge(objects)
         if changed:
             self._recent_changes.extend(changed)
@@ -296,7 +296,7 @@
             self._on_change(changed)
         return changed
 
-    def _push(self, changed: list[Versioned], source: str | None = None) -> None:
+    def _push(self, changed: list[VersionedObject], source: str | None = None) -> None:
         """Send new objects to a few random members."""
         encoded = [item.encode() for item in changed]
         if not encoded or sum(map(len, encoded)) > PUSH_LIMIT_BYTES:
--- a/borageworks/catalog/tests/fakes.py
+++ b/borageworks/catalog/tests/fake_store.py
@@ -26,12 +26,12 @@
 
     Parameters
     ----------
-    lost_replies
+    commit_faults
         Fault of each of the next commits: None replies, "before" loses the request,
         "after" loses the reply, "late" applies the transaction at the next commit.
     """
 
-    def __init__(self, lost_replies: list[str | None] | None = None) -> None:
+    def __init__(self, commit_faults: list[str | None] | None = None) -> None:
         self.values: dict[str, StoredValue] = {}
         self.revision = 1
         self.compacted = 0
@@ -42,7 +42,7 @@
         self.calls: Counter[str] = Counter()
         self.keys_read: Counter[str] = Counter()
         self.history: list[WatchBatch] = []
-        self.lost_replies = lost_replies or []
+        self.commit_faults = commit_faults or []
         self._delayed: list[Transaction] = []
         self._changed = asyncio.Event()
 
@@ -68,7 +68,7 @@
     async def commit(self, transaction: Transaction) -> CommitResult:
         self._call("commit")
         await asyncio.sleep(0)
-        fault = self.lost_replies.pop(0) if self.lost_replies else None
+        fault = self.commit_faults.pop(0) if self.commit_faults else None
         for delayed in self._delayed:
             self._apply(delayed)
         self._delayed.clear()
--- a/borageworks/catalog/tests/fleet.py
+++ b/borageworks/catalog/tests/fleet.py
@@ -14,8 +14,8 @@
 
 from borageworks.catalog.replica import Replica
 from borageworks.catalog.sync import CatalogSync
-from borageworks.catalog.tests.fakes import FakeStore
-from borageworks.catalog.versioned import Versioned
+from borageworks.catalog.tests.fake_store import FakeStore
+from borageworks.catalog.versioned_object import VersionedObject
 from borageworks.config.loader import parse_settings
 from borageworks.config.tests.examples import VALID
 from borageworks.metrics import Metrics
@@ -42,7 +42,7 @@
         self.member = member
         self.store = store
         self.replica = Replica()
-        self.changes: list[Versioned] = []
+        self.changes: list[VersionedObject] = []
         self.metrics = Metrics()
         self.sync = CatalogSync(
             parse_settings(
--- a/borageworks/catalog/tests/test_etcd.py
+++ b/borageworks/catalog/tests/test_etcd.py
@@ -8,7 +8,7 @@
 from borageworks.catalog import sync as sync_module
 from borageworks.catalog import tickets as tickets_module
 from borageworks.catalog.keys import CATALOG_PREFIX, CatalogKeys
-from borageworks.catalog.state import read_state
+from borageworks.catalog.stored_state import read_state
 from borageworks.catalog.tests.builders import organisation, ticket
 from borageworks.catalog.tests.fleet import Fleet
 from borageworks.catalog.tickets import apply_ticket
@@ -37,7 +37,7 @@
 class EtcdCatalogTest(testtools.TestCase):
     def test_tickets_with_lost_replies_and_an_outage(self):
         """Guards against adapter errors that ticket application does not handle."""
-        self.patch(tickets_module, "RACE_PAUSE_S", 0.0)
+        self.patch(tickets_module, "CONFLICT_BACKOFF_S", 0.0)
 
         async def scenario():
             async with connected() as (emulated, store):
@@ -75,7 +75,7 @@
         async def scenario():
             async with connected() as (emulated, store):
                 fleet = Fleet()
-                single = await fleet.add("single", "d1", store)
+                single = await fleet.add("lone", "d1", store)
                 for number in range(1, 6):
                     change = ticket(number, organisation(f"o{number}"))
                     result = await apply_ticket(store, CATALOG_PREFIX, change)
--- a/borageworks/catalog/tests/test_plan.py
+++ b/borageworks/catalog/tests/test_plan.py
@@ -15,7 +15,7 @@
     service,
     ticket,
 )
-from borageworks.catalog.versioned import Versioned
+from borageworks.catalog.versioned_object import VersionedObject
 from borageworks.catalog.view import CatalogView
 from borageworks.exceptions import TicketConflictError, TicketInvalidError
 
@@ -77,7 +77,7 @@
         """Guards against decisions that differ from the reference implementation."""
         state: dict[tuple[str, str], Any] = {}
         applied: list[Any] = []
-        objects: dict[tuple[str, str], Versioned] = {}
+        objects: dict[tuple[str, str], VersionedObject] = {}
         revisions: dict[str, int] = {}
         for revision, change in enumerate(changes, 1):
             expected = reference(state, applied, change)
@@ -112,9 +112,11 @@
         """Guards against reporting only the first of several errors."""
         view = CatalogView(
             {
-                ("pool", "p"): Versioned("pool", "p", 1, pool("p")),
-                ("service", "s"): Versioned("service", "s", 1, service("s", "p")),
-                ("organisation", "gone"): Versioned("organisation", "gone", 1, None),
+                ("pool", "p"): VersionedObject("pool", "p", 1, pool("p")),
+                ("service", "s"): VersionedObject("service", "s", 1, service("s", "p")),
+                ("organisation", "gone"): VersionedObject(
+                    "organisation", "gone", 1, None
+                ),
             },
             domains=("d1",),
         )
--- a/borageworks/catalog/tests/test_replica.py
+++ b/borageworks/catalog/tests/test_replica.py
@@ -10,7 +10,7 @@
 
 from borageworks.catalog import bucket as bucket_module
 from borageworks.catalog.bucket import Bucket
-from borageworks.catalog.buckets import BUCKETS, bucket_of
+from borageworks.catalog.bucket_hash import BUCKET_COUNT, bucket_of
 from borageworks.catalog.replica import Replica
 from borageworks.catalog.replica_digest import ReplicaDigest
 from borageworks.catalog.tests.builders import (
@@ -20,7 +20,7 @@
     pool,
     service,
 )
-from borageworks.catalog.versioned import Versioned
+from borageworks.catalog.versioned_object import VersionedObject
 from borageworks.exceptions import MessageMalformedError, StoreReplyMalformedError
 
 NAMES = st.sampled_from([f"n{index}" for index in range(8)])
@@ -36,7 +36,7 @@
         "endpoint": endpoint(name, f"n{number % 3}", number),
     }
     value = None if number % 4 == 0 else values[kind]
-    return Versioned(kind, name, number, value)
+    return VersionedObject(kind, name, number, value)
 
 
 OBJECTS = st.builds(
@@ -86,7 +86,7 @@
         fresh.merge(sorted(reference.values(), key=lambda item: item.key))
         self.assertEqual(fresh.digest(), replica.digest())
         self.assertEqual(fresh.version(), replica.version())
-        for index in range(BUCKETS):
+        for index in range(BUCKET_COUNT):
             self.assertEqual(
                 {k: i for k, i in reference.items() if bucket_of(*k) == index},
                 {item.key: item for item in replica.bucket(index)},
@@ -125,14 +125,14 @@
         replica.merge(objects[1:])
         self.assertEqual(bucket, Bucket.decode(bucket.encode(), 9, replica.get))
         for item in objects:
-            self.assertEqual(item, Versioned.decode(item.encode()))
+            self.assertEqual(item, VersionedObject.decode(item.encode()))
 
     @settings(derandomize=True, deadline=None, max_examples=300)
     @given(
         st.binary(max_size=60)
         | st.builds(
             lambda data, at, byte: data[:at] + byte + data[at + 1 :],
-            OBJECTS.map(Versioned.encode)
+            OBJECTS.map(VersionedObject.encode)
             | OBJECTS.map(lambda item: Bucket(1, (item,)).encode())
             | OBJECTS.map(lambda item: zlib.decompress(Bucket(1, (item,)).encode())),
             st.integers(0, 150),
@@ -145,7 +145,7 @@
         if compressed:
             data = zlib.compress(data)
         expected: dict[Any, type[Exception]] = {
-            Versioned.decode: MessageMalformedError,
+            VersionedObject.decode: MessageMalformedError,
             partial(Bucket.decode, mod_revision=1): StoreReplyMalformedError,
             partial(
                 Bucket.decode, mod_revision=1, lookup=Replica().get
--- a/borageworks/catalog/tests/test_sync.py
+++ b/borageworks/catalog/tests/test_sync.py
@@ -9,13 +9,13 @@
 
 from borageworks.catalog import follower
 from borageworks.catalog import sync as sync_module
-from borageworks.catalog.buckets import bucket_of
+from borageworks.catalog.bucket_hash import bucket_of
 from borageworks.catalog.keys import CATALOG_PREFIX
 from borageworks.catalog.tests.builders import organisation, ticket
-from borageworks.catalog.tests.fakes import FakeStore
+from borageworks.catalog.tests.fake_store import FakeStore
 from borageworks.catalog.tests.fleet import FRAME_LIMIT_BYTES, Fleet, run, simulated
 from borageworks.catalog.tickets import apply_ticket
-from borageworks.catalog.versioned import Versioned
+from borageworks.catalog.versioned_object import VersionedObject
 from borageworks.catalog.watchers import WATCHERS_PER_DOMAIN
 from borageworks.wire.messages import (
     CatalogDigest,
@@ -81,7 +81,7 @@
         """Guards against a new fleet that never becomes ready for its first ticket."""
         await start(fleet, store, 5)
         await fleet.wait_until_equal()
-        self.assertEqual((), fleet.instances["i0"].sync.lacking)
+        self.assertEqual((), fleet.instances["i0"].sync.readiness_blockers)
         await fleet.wait_until_equal(await apply(store, 1, organisation("a")))
         self.assertIn("a", fleet.instances["i4"].replica.organisations)
 
@@ -96,9 +96,9 @@
         store.notify_watches()
         late = await fleet.add("late", "d1", store)
         await asyncio.sleep(0.1)
-        self.assertNotEqual((), late.sync.lacking)
+        self.assertNotEqual((), late.sync.readiness_blockers)
         await fleet.wait_until_equal()
-        self.assertEqual((), late.sync.lacking)
+        self.assertEqual((), late.sync.readiness_blockers)
         self.assertEqual(300, len(late.replica.organisations))
         sent = late.metrics.value("catalog_objects_sent")
         self.assertEqual(0, sent, "the initial load is not forwarded")
@@ -118,7 +118,7 @@
     async def test_replies_to_digests_and_pulls_each_bucket_once(self, store, fleet):
         """Guards against a peer that stays out of date, and duplicate replies."""
         await apply(store, 1, organisation("a"))
-        single = await fleet.add("single", "d1", store)
+        single = await fleet.add("lone", "d1", store)
         await fleet.wait_until_equal()
         ours = single.replica.digest()
         empty = CatalogDigest(0, (0,) * len(ours.hashes))
@@ -129,7 +129,7 @@
             single.sync.receive("ahead", newer)
             single.sync.receive("also-ahead", newer)
         reply = CatalogDigest(ours.revision, ours.hashes)
-        recent = Versioned("organisation", "a", 1, organisation("a"))
+        recent = VersionedObject("organisation", "a", 1, organisation("a"))
         objects = CatalogObjects((recent.encode(),))
         self.assertEqual(
             [
@@ -149,7 +149,7 @@
         await start(fleet, store, 4)
         await fleet.wait_until_equal()
         await asyncio.sleep(5)
-        item = Versioned("organisation", "a", 9, organisation("a"))
+        item = VersionedObject("organisation", "a", 9, organisation("a"))
         message = CatalogObjects((item.encode(),))
         fleet.sent.clear()
         for _ in range(2):
@@ -161,7 +161,7 @@
         fleet.sent.clear()
         await apply(store, 1, organisation("b"))
         await asyncio.sleep(0.01)
-        pushed = Versioned("organisation", "b", 1, organisation("b"))
+        pushed = VersionedObject("organisation", "b", 1, organisation("b"))
         expected = CatalogObjects((pushed.encode(),))
         self.assertIn(expected, [message for _, _, message in fleet.sent])
 
@@ -170,9 +170,9 @@
         """Guards against readiness without configuration, and a stuck initial load."""
         await apply(store, 1, organisation("a"))
         store.down = True
-        single = await fleet.add("single", "d1", store)
+        single = await fleet.add("lone", "d1", store)
         await asyncio.sleep(600)
-        self.assertIn("does not reply", single.sync.lacking[0])
+        self.assertIn("does not answer", single.sync.readiness_blockers[0])
         self.assertLess(sum(store.calls.values()), 60, "retries are rate-limited")
         store.down = False
         await fleet.wait_until_equal()
@@ -189,16 +189,16 @@
         store.down = True
         store.notify_watches()
         late = await fleet.add("late", "d1", store)
-        newer = Versioned("organisation", "b", 9, organisation("b"))
+        newer = VersionedObject("organisation", "b", 9, organisation("b"))
         late.sync.receive("gone", CatalogObjects((newer.encode(),)))
         await fleet.wait_until_equal()
-        self.assertEqual((), late.sync.lacking)
+        self.assertEqual((), late.sync.readiness_blockers)
         self.assertIn("b", fleet.instances["i0"].replica.organisations)
 
     @simulated
     async def test_compacted_watch_reloads(self, store, fleet):
         """Guards against a watcher that misses changes after a compaction."""
-        single = await fleet.add("single", "d1", store)
+        single = await fleet.add("lone", "d1", store)
         await asyncio.sleep(5)
         store.watches_silent = True
         for number in range(1, 15):
@@ -226,7 +226,7 @@
         async def scenario():
             store, fleet = StaleStore(), Fleet()
             await apply(store, 1, organisation("a"))
-            single = await fleet.add("single", "d1", store)
+            single = await fleet.add("lone", "d1", store)
             await asyncio.sleep(5)
             store.stale = {k: v for k, v in store.values.items() if "bucket" in k}
             revision = await apply(store, 2, organisation("a", share=2.0))
@@ -251,7 +251,7 @@
     @simulated
     async def test_store_reads_are_rate_limited(self, store, fleet):
         """Guards against watchers that read the store on each of many tickets."""
-        single = await fleet.add("single", "d1", store)
+        single = await fleet.add("lone", "d1", store)
         await asyncio.sleep(5)
         started = fleet.timers.now()
         for number in range(1, 301):
@@ -314,7 +314,7 @@
             for receiver_index, name, number, deleted in distinct.values():
                 key = f"o{name}"
                 value = None if deleted else organisation(key)
-                item = Versioned("organisation", key, number, value)
+                item = VersionedObject("organisation", key, number, value)
                 expected[key] = max(number, expected.get(key, 0))
                 receiver = fleet.instances[f"i{receiver_index}"]
                 receiver.sync.receive("gone", CatalogObjects((item.encode(),)))
@@ -352,7 +352,7 @@
         async def scenario():
             store, fleet = FakeStore(), Fleet()
             await apply(store, 1, organisation("a"))
-            single = await fleet.add("single", "d1", store)
+            single = await fleet.add("lone", "d1", store)
             await fleet.wait_until_equal()
             version = single.replica.version()
             single.sync.receive("peer", message)
--- a/borageworks/catalog/tests/test_tickets.py
+++ b/borageworks/catalog/tests/test_tickets.py
@@ -8,13 +8,13 @@
 
 from borageworks.catalog import keys as keys_module
 from borageworks.catalog import tickets as tickets_module
-from borageworks.catalog.buckets import bucket_of
+from borageworks.catalog.bucket_hash import bucket_of
 from borageworks.catalog.head import Head
 from borageworks.catalog.keys import CatalogKeys
 from borageworks.catalog.objects import Organisation
-from borageworks.catalog.state import read_state
+from borageworks.catalog.stored_state import read_state
 from borageworks.catalog.tests.builders import organisation, pool, ticket
-from borageworks.catalog.tests.fakes import FakeStore
+from borageworks.catalog.tests.fake_store import FakeStore
 from borageworks.catalog.tickets import TicketResult, apply_ticket
 from borageworks.exceptions import (
     StoreOutcomeUnknownError,
@@ -36,7 +36,7 @@
 class ApplyTicketTest(testtools.TestCase):
     def setUp(self):
         super().setUp()
-        self.patch(tickets_module, "RACE_PAUSE_S", 0.0)
+        self.patch(tickets_module, "CONFLICT_BACKOFF_S", 0.0)
 
     def stored_tickets(self, store):
         state = asyncio.run(read_state(store, CatalogKeys(PREFIX)))
@@ -64,7 +64,7 @@
     def test_lost_replies_are_resolved(self):
         """Guards against a ticket reported failed that took effect, or the reverse."""
         for faults in (["after"], ["before"], ["late"], ["before", "after", "late"]):
-            store = FakeStore(lost_replies=list(faults))
+            store = FakeStore(commit_faults=list(faults))
             result = apply(store, ticket(5, organisation("a")))
             head = store.values[CatalogKeys(PREFIX).head]
             self.assertEqual(TicketResult(5, head.mod_revision, False), result)
@@ -80,7 +80,7 @@
                 finally:
                     self.down = True
 
-        store = FailingStore(lost_replies=["after"])
+        store = FailingStore(commit_faults=["after"])
         change = ticket(5, organisation("a"))
         self.assertRaises(StoreOutcomeUnknownError, apply, store, change)
         store.down = False
@@ -101,13 +101,13 @@
                     head = StoredValue(Head().encode(), self.revision)
                     self.values[CatalogKeys(PREFIX).head] = head
 
-        store = BusyStore(lost_replies=["before"])
+        store = BusyStore(commit_faults=["before"])
         change = ticket(5, organisation("a"))
         self.assertRaises(StoreUnavailableError, apply, store, change)
 
     def test_all_replies_lost_is_reported_as_unknown(self):
         """Guards against endless retries and against a wrong final error."""
-        store = FakeStore(lost_replies=["before"] * 100)
+        store = FakeStore(commit_faults=["before"] * 100)
         change = ticket(5, organisation("a"))
         self.assertRaises(StoreOutcomeUnknownError, apply, store, change)
         self.assertEqual(tickets_module.MAX_ATTEMPTS, store.calls["commit"])
@@ -143,7 +143,7 @@
     )
     def test_concurrent_operators_leave_a_sequential_state(self, changes, faults):
         """Guards against a state that no sequential order of the tickets would give."""
-        store = FakeStore(lost_replies=faults)
+        store = FakeStore(commit_faults=faults)
 
         async def race():
             return await asyncio.gather(
--- a/borageworks/catalog/tickets.py
+++ b/borageworks/catalog/tickets.py
@@ -10,12 +10,12 @@
 import orjson
 
 from borageworks.catalog.bucket import Bucket
-from borageworks.catalog.buckets import bucket_of
+from borageworks.catalog.bucket_hash import bucket_of
 from borageworks.catalog.keys import CatalogKeys
 from borageworks.catalog.objects import Ticket
 from borageworks.catalog.plan import TicketPlan, plan_ticket, ticket_digest
-from borageworks.catalog.state import StoredState, read_state
-from borageworks.catalog.versioned import Versioned
+from borageworks.catalog.stored_state import StoredState, read_state
+from borageworks.catalog.versioned_object import VersionedObject
 from borageworks.catalog.view import CatalogView
 from borageworks.exceptions import (
     StoreOutcomeUnknownError,
@@ -29,7 +29,7 @@
 # Of the tickets that compete for one head revision, one is accepted per attempt. So
 # this many operators can apply tickets at once before one of them gets a conflict.
 MAX_ATTEMPTS = 16
-RACE_PAUSE_S = 0.05
+CONFLICT_BACKOFF_S = 0.05
 
 # Largest value that the platform store accepts.
 VALUE_LIMIT_BYTES = 1_000_000
@@ -95,7 +95,7 @@
     unknown_outcome_head = 0
     for attempt in range(MAX_ATTEMPTS):
         if attempt:
-            await asyncio.sleep(random.uniform(0, RACE_PAUSE_S * attempt))
+            await asyncio.sleep(random.uniform(0, CONFLICT_BACKOFF_S * attempt))
         try:
             state = await read_state(store, keys, state)
             # Read after the state, so that a ticket accepted in between is seen as
@@ -178,8 +178,8 @@
 
 
 def _merge_changes(
-    objects: tuple[Versioned, ...], plan: TicketPlan, index: int
-) -> tuple[Versioned, ...]:
+    objects: tuple[VersionedObject, ...], plan: TicketPlan, index: int
+) -> tuple[VersionedObject, ...]:
     merged = {item.key: item for item in objects}
     merged.update(
         (item.key, item)
--- a/borageworks/catalog/versioned.py
+++ b/borageworks/catalog/versioned_object.py
@@ -20,7 +20,7 @@
 
 
 class VersionedDocument(BaseModel):
-    """JSON form of `Versioned`: exactly one of `put` and `delete`."""
+    """JSON form of `VersionedObject`: exactly one of `put` and `delete`."""
 
     model_config = ConfigDict(frozen=True, extra="forbid")
 
@@ -34,16 +34,16 @@
             raise ValueError("exactly one of put and delete is required")
         return self
 
-    def to_versioned(self) -> Versioned:
+    def to_versioned(self) -> VersionedObject:
         """Return the state that this document describes."""
         if self.put is not None:
-            return Versioned(self.put.kind, self.put.id, self.ticket, self.put)
+            return VersionedObject(self.put.kind, self.put.id, self.ticket, self.put)
         assert self.delete is not None
-        return Versioned(self.delete.kind, self.delete.id, self.ticket, None)
+        return VersionedObject(self.delete.kind, self.delete.id, self.ticket, None)
 
 
 @dataclass(frozen=True, slots=True)
-class Versioned:
+class VersionedObject:
     """State of one object.
 
     Parameters
@@ -66,7 +66,7 @@
         """Kind and id."""
         return self.kind, self.id
 
-    def record(self) -> dict[str, Any]:
+    def to_document(self) -> dict[str, Any]:
         """Return the JSON form, with every field included.
 
         Defaults are included, so a release with another default does not change an
@@ -80,11 +80,11 @@
         return {"ticket": self.ticket, "put": self.value.model_dump(mode="json")}
 
     def encode(self) -> bytes:
-        """Return the JSON text of `record`."""
-        return orjson.dumps(self.record())
+        """Return the JSON text of `to_document`."""
+        return orjson.dumps(self.to_document())
 
     @classmethod
-    def decode(cls, data: bytes) -> Versioned:
+    def decode(cls, data: bytes) -> VersionedObject:
         """Return the state that JSON text describes.
 
         Raises
--- a/borageworks/catalog/view.py
+++ b/borageworks/catalog/view.py
@@ -5,7 +5,7 @@
 from collections.abc import Collection, Mapping
 from dataclasses import dataclass, field
 
-from borageworks.catalog.versioned import Versioned
+from borageworks.catalog.versioned_object import VersionedObject
 
 
 @dataclass(frozen=True, slots=True)
@@ -22,6 +22,6 @@
         Failure domains that endpoints may name, or None to accept any.
     """
 
-    objects: Mapping[tuple[str, str], Versioned] = field(default_factory=dict)
+    objects: Mapping[tuple[str, str], VersionedObject] = field(default_factory=dict)
     accepted_revisions: Mapping[str, int] = field(default_factory=dict)
     domains: Collection[str] | None = None
--- a/borageworks/commands/tests/test_commands.py
+++ b/borageworks/commands/tests/test_commands.py
@@ -11,7 +11,7 @@
 
 from borageworks.__main__ import cli
 from borageworks.catalog import tickets
-from borageworks.catalog.tests.fakes import FakeStore
+from borageworks.catalog.tests.fake_store import FakeStore
 from borageworks.commands import ticket as ticket_module
 from borageworks.commands.exit_codes import ExitCode
 from borageworks.config.tests.examples import VALID
@@ -123,8 +123,8 @@
         endpoint |= {"host": "127.0.0.1", "port": 9}
         change = {"number": 4, "put": [endpoint]}
         self.assertIn("domain 'd9'", apply(change, ExitCode.INVALID, "--domain", "d1"))
-        self.store.lost_replies = ["before"] * 99
-        self.patch(tickets, "RACE_PAUSE_S", 0.0)
+        self.store.commit_faults = ["before"] * 99
+        self.patch(tickets, "CONFLICT_BACKOFF_S", 0.0)
         self.assertIn("store_outcome_unknown", apply(change, ExitCode.OUTCOME_UNKNOWN))
         self.store.down = True
         self.assertIn("store_unavailable", apply(change, ExitCode.FAILED))
--- a/borageworks/commands/ticket.py
+++ b/borageworks/commands/ticket.py
@@ -11,7 +11,7 @@
 import orjson
 
 from borageworks.catalog.keys import CATALOG_PREFIX, CatalogKeys
-from borageworks.catalog.state import StoredState, read_state
+from borageworks.catalog.stored_state import StoredState, read_state
 from borageworks.catalog.tickets import apply_ticket
 from borageworks.commands.exit_codes import ExitCode, exit_with_error
 from borageworks.commands.loop import run_loop
@@ -136,7 +136,7 @@
 def _show_object(state: StoredState, kind: str, object_id: str) -> None:
     for item in state.objects():
         if item.key == (kind, object_id):
-            text = orjson.dumps(item.record(), option=orjson.OPT_INDENT_2)
+            text = orjson.dumps(item.to_document(), option=orjson.OPT_INDENT_2)
             click.echo(text.decode())
             return
     click.echo(f"no {kind} {object_id!r} in the configuration", err=True)
--- a/borageworks/router/router.py
+++ b/borageworks/router/router.py
@@ -13,7 +13,7 @@
 from borageworks.catalog.objects import PoolKind
 from borageworks.catalog.replica import Replica
 from borageworks.catalog.sync import CatalogSync
-from borageworks.catalog.versioned import Versioned
+from borageworks.catalog.versioned_object import VersionedObject
 from borageworks.claims.service import ClaimService
 from borageworks.config.settings import Settings
 from borageworks.endpoints.call import Call
@@ -165,12 +165,12 @@
         else:
             await self._at_most_once.run(call, sink)
 
-    def lacking(self) -> list[str]:
+    def readiness_blockers(self) -> list[str]:
         """Return the reasons why the instance is not ready; empty if it is ready."""
-        lacking = list(self._catalog.lacking)
+        blockers = list(self._catalog.readiness_blockers)
         if self._stopping:
-            lacking.append("the instance is stopping")
-        return lacking
+            blockers.append("the instance is stopping")
+        return blockers
 
     def status(self) -> dict[str, Any]:
         """Return the state of the instance for operators."""
@@ -180,7 +180,7 @@
             "domain": self._settings.domain,
             "incarnation": self._incarnation,
             "uptime_s": round(now - self._started_at, 3),
-            "lacking": self.lacking(),
+            "lacking": self.readiness_blockers(),
             "catalog_revision": self._replica.version()[0],
             "catalog_hash": f"{self._replica.version()[1]:016x}",
             "calls": self._entry.calls,
@@ -339,7 +339,7 @@
             self._unreachable_domains.add(domain)
         self._schedule_ownership_update()
 
-    def _on_catalog_changed(self, changed: list[Versioned]) -> None:
+    def _on_catalog_changed(self, changed: list[VersionedObject]) -> None:
         emit(
             Event.CATALOG_CHANGED,
             revision=self._replica.version()[0],
--- a/borageworks/router/tests/harness.py
+++ b/borageworks/router/tests/harness.py
@@ -15,7 +15,7 @@
     Service,
 )
 from borageworks.catalog.replica import Replica
-from borageworks.catalog.versioned import Versioned
+from borageworks.catalog.versioned_object import VersionedObject
 from borageworks.config.settings import Settings
 from borageworks.endpoints.call import Call
 from borageworks.endpoints.exchange import Exchange
@@ -90,7 +90,7 @@
         )
         for number in range(endpoints)
     ]
-    replica.merge(Versioned(item.kind, item.id, 1, item) for item in objects)
+    replica.merge(VersionedObject(item.kind, item.id, 1, item) for item in objects)
     return replica
 
 
--- a/borageworks_emulator/slopes_catalog.py
+++ b/borageworks_emulator/slopes_catalog.py
@@ -13,13 +13,13 @@
 import orjson
 
 from borageworks.catalog.bucket import Bucket
-from borageworks.catalog.buckets import BUCKETS, bucket_of
+from borageworks.catalog.bucket_hash import BUCKET_COUNT, bucket_of
 from borageworks.catalog.head import Head
 from borageworks.catalog.keys import CATALOG_PREFIX, CatalogKeys
 from borageworks.catalog.objects import Endpoint, Organisation, Pool, Service, Ticket
 from borageworks.catalog.replica import Replica
 from borageworks.catalog.tickets import apply_ticket
-from borageworks.catalog.versioned import Versioned
+from borageworks.catalog.versioned_object import VersionedObject
 from borageworks.store.values import (
     CommitResult,
     Lease,
@@ -90,7 +90,7 @@
     return tuple(asyncio.run(_measure_size(size, seed)) for size in sizes)
 
 
-def generate_configuration(organisations: int, seed: int) -> list[Versioned]:
+def generate_configuration(organisations: int, seed: int) -> list[VersionedObject]:
     """Return a random configuration in which each organisation has one API key."""
     rng = random.Random(seed)
     values: list[Organisation | Pool | Service | Endpoint] = [
@@ -118,7 +118,7 @@
         for number in range(int(organisations * ENDPOINTS_PER_ORGANISATION))
     )
     return [
-        Versioned(value.kind, value.id, number, value)
+        VersionedObject(value.kind, value.id, number, value)
         for number, value in enumerate(values, 1)
     ]
 
@@ -157,7 +157,7 @@
 
 async def _measure_size(size: int, seed: int) -> CatalogSlope:
     objects = generate_configuration(size, seed)
-    groups: list[list[Versioned]] = [[] for _ in range(BUCKETS)]
+    groups: list[list[VersionedObject]] = [[] for _ in range(BUCKET_COUNT)]
     for item in objects:
         groups[bucket_of(item.kind, item.id)].append(item)
     stored = [Bucket(1, tuple(group)).encode() for group in groups]
@@ -172,7 +172,7 @@
     merge_s = time.process_time() - started
 
     keys = CatalogKeys(CATALOG_PREFIX)
-    head = Head(tickets=1, buckets=(1,) * BUCKETS)
+    head = Head(tickets=1, buckets=(1,) * BUCKET_COUNT)
     values = {keys.bucket(i): StoredValue(data, 1) for i, data in enumerate(stored)}
     store = _MemoryStore({keys.head: StoredValue(head.encode(), 1), **values})
     name = objects[0].id
@@ -194,7 +194,7 @@
     return CatalogSlope(
         organisations=size,
         objects=len(objects),
-        bucket_bytes_mean=sum(map(len, stored)) / BUCKETS,
+        bucket_bytes_mean=sum(map(len, stored)) / BUCKET_COUNT,
         bucket_bytes_max=max(map(len, stored)),
         replica_bytes=replica_bytes,
         decode_s=decode_s,
