--- a/borageworks/membership/membership.py
+++ b/borageworks/membership/membership.py
@@ -25,7 +25,7 @@
 Datagram = Ping | PingRequest | Ack
 
 MAX_PACKET_BYTES = 1200
-CODE_BYTES = 16  # authentication code that the transport appends
+AUTHENTICATION_CODE_BYTES = 16  # authentication code that the transport appends
 # Upper bound on the packed frame around sender, target and updates.
 MAX_HEADER_BYTES = 72
 PROBE_FAILURE_TIMEOUTS = 2  # one for the direct probe, one for the relayed probe
@@ -749,7 +749,13 @@
 
     def _free_bytes(self, used_bytes: int = 0) -> int:
         own = packed_size(self._own)
-        return MAX_PACKET_BYTES - CODE_BYTES - MAX_HEADER_BYTES - own - used_bytes
+        return (
+            MAX_PACKET_BYTES
+            - AUTHENTICATION_CODE_BYTES
+            - MAX_HEADER_BYTES
+            - own
+            - used_bytes
+        )
 
     def _piggyback(
         self,
