--- a/borageworks/gateway/placement_messages.py
+++ b/borageworks/gateway/placement_messages.py
@@ -14,7 +14,12 @@
 from borageworks.placement.decisions import Decision, Placed, RefusalReason, Refused
 from borageworks.placement.reading_speed import PrefillSpeed
 from borageworks.placement.work import Work
-from borageworks.wire.messages import PlaceReply, PlaceRequest, PlaceState, PromptPiece
+from borageworks.wire.messages import (
+    PlacementState,
+    PlaceReply,
+    PlaceRequest,
+    PromptPiece,
+)
 
 
 def encode_work(shard: tuple[str, int], work: Work) -> PlaceRequest:
@@ -73,7 +78,7 @@
         case Placed():
             return PlaceReply(
                 number,
-                PlaceState.PLACED,
+                PlacementState.PLACED,
                 endpoint=decision.endpoint,
                 unread_tokens=decision.uncached_tokens,
                 seconds_per_token=prefill_speed.seconds_per_token
@@ -84,7 +89,7 @@
         case Refused():
             return PlaceReply(
                 number,
-                PlaceState.REFUSED,
+                PlacementState.REFUSED,
                 reason=int(decision.reason),
                 retry_after_s=decision.retry_after_s,
             )
--- a/borageworks/gateway/placer.py
+++ b/borageworks/gateway/placer.py
@@ -33,9 +33,9 @@
 from borageworks.timers import Subscription, Timers
 from borageworks.wire.messages import (
     Message,
+    PlacementState,
     PlaceReply,
     PlaceRequest,
-    PlaceState,
     PlaceWithdraw,
     WorkEnded,
     WorkRunning,
@@ -360,7 +360,7 @@
                 instance,
                 PlaceReply(
                     request.number,
-                    PlaceState.REFUSED,
+                    PlacementState.REFUSED,
                     reason=int(RefusalReason.NO_ENDPOINT),
                     retry_after_s=self._settings.min_retry_after_s,
                 ),
@@ -374,7 +374,9 @@
         )
         self._deliver(decisions, dispatcher.prefill_speed)
         if all(decision.key != work.key for decision in decisions):
-            self._fleet.send(instance, PlaceReply(request.number, PlaceState.WAITING))
+            self._fleet.send(
+                instance, PlaceReply(request.number, PlacementState.WAITING)
+            )
             self._ensure_ticking()
 
     def _adopt(
@@ -389,7 +391,7 @@
     def _handle_reply(self, instance: str, reply: PlaceReply) -> None:
         entry = self._requests.get(reply.number)
         if entry is None or entry.owner != instance or entry.future.done():
-            if reply.state is PlaceState.PLACED and (
+            if reply.state is PlacementState.PLACED and (
                 entry is None or entry.owner != instance
             ):
                 self._fleet.send(instance, PlaceWithdraw(reply.number))
@@ -397,7 +399,7 @@
         entry.acknowledged.set()
         key = entry.work.key
         match reply.state:
-            case PlaceState.PLACED:
+            case PlacementState.PLACED:
                 dispatcher = self._dispatchers.get(entry.shard)
                 if dispatcher is not None and reply.seconds_per_token > 0.0:
                     dispatcher.prefill_speed.adopt(
@@ -406,10 +408,10 @@
                 self._resolve(
                     Placed(key, reply.endpoint, reply.unread_tokens, instance)
                 )
-            case PlaceState.REFUSED:
+            case PlacementState.REFUSED:
                 reason = RefusalReason(reply.reason)
                 self._resolve(Refused(key, reason, reply.retry_after_s))
-            case PlaceState.WAITING:
+            case PlacementState.WAITING:
                 return
 
     def _owner(self, shard: Shard) -> str:
--- a/borageworks/membership/gossip.py
+++ b/borageworks/membership/gossip.py
@@ -27,7 +27,7 @@
 from borageworks.membership.membership import MAX_PACKET_BYTES, Datagram, Membership
 from borageworks.metrics import Metrics
 from borageworks.timers import Subscription, Timers
-from borageworks.wire.authenticator import CODE_BYTES, Authenticator
+from borageworks.wire.authenticator import AUTHENTICATION_CODE_BYTES, Authenticator
 from borageworks.wire.codec import decode, encode
 from borageworks.wire.messages import Ack, MemberState, MemberUpdate, Ping, PingRequest
 
@@ -245,8 +245,10 @@
             raise MessageMalformedError(
                 f"datagram of {len(data)} bytes exceeds the maximum"
             )
-        body = data[:-CODE_BYTES]
-        self._authenticator.verify(AUTHENTICATION_CONTEXT, body, data[-CODE_BYTES:])
+        body = data[:-AUTHENTICATION_CODE_BYTES]
+        self._authenticator.verify(
+            AUTHENTICATION_CONTEXT, body, data[-AUTHENTICATION_CODE_BYTES:]
+        )
         match decode(body):
             case [Ping() | PingRequest() | Ack() as message]:
                 return message
--- a/borageworks/router/router.py
+++ b/borageworks/router/router.py
@@ -277,7 +277,7 @@
             # Delivered in the next loop iteration, so that senders are not re-entered.
             asyncio.get_running_loop().call_soon(self._deliver, instance, message)
         else:
-            self._links.send(instance, message, lazy=_is_lazy(message))
+            self._links.send(instance, message, deferrable=_is_deferrable(message))
 
     def _broadcast(self, message: Message) -> None:
         for member in self._live_members():
@@ -410,7 +410,7 @@
         gauge("uptime_seconds", now - self._started_at)
 
 
-def _is_lazy(message: Message) -> bool:
+def _is_deferrable(message: Message) -> bool:
     """Return whether a message is pure accounting and may be sent in a batch."""
     match message:
         case Charge() | Used() | ClaimFinish() | ServiceReport() | ServiceError():
--- a/borageworks/wire/authenticator.py
+++ b/borageworks/wire/authenticator.py
@@ -7,7 +7,7 @@
 
 from borageworks.exceptions import MessageUnauthenticError
 
-CODE_BYTES = 16
+AUTHENTICATION_CODE_BYTES = 16
 
 
 class Authenticator:
@@ -24,7 +24,9 @@
 
     def __init__(self, keys: tuple[str, ...]) -> None:
         self._keyed_hashes = [
-            hashlib.blake2b(digest_size=CODE_BYTES, key=bytes.fromhex(key))
+            hashlib.blake2b(
+                digest_size=AUTHENTICATION_CODE_BYTES, key=bytes.fromhex(key)
+            )
             for key in keys
         ]
 
--- a/borageworks/wire/link.py
+++ b/borageworks/wire/link.py
@@ -15,7 +15,7 @@
     MessageUnauthenticError,
 )
 from borageworks.metrics import Metrics
-from borageworks.wire.authenticator import CODE_BYTES, Authenticator
+from borageworks.wire.authenticator import AUTHENTICATION_CODE_BYTES, Authenticator
 from borageworks.wire.codec import decode, encode
 from borageworks.wire.messages import Hello, Message
 
@@ -204,11 +204,11 @@
                 f"peer announced a frame of {length} bytes; the limit is {limit}"
             )
         end = LENGTH_BYTES + length
-        if len(self._receive_buffer) < end + CODE_BYTES:
+        if len(self._receive_buffer) < end + AUTHENTICATION_CODE_BYTES:
             return None
         body = bytes(self._receive_buffer[LENGTH_BYTES:end])
-        code = bytes(self._receive_buffer[end : end + CODE_BYTES])
-        del self._receive_buffer[: end + CODE_BYTES]
+        code = bytes(self._receive_buffer[end : end + AUTHENTICATION_CODE_BYTES])
+        del self._receive_buffer[: end + AUTHENTICATION_CODE_BYTES]
         return body, code
 
     def _process_frame(self, body: bytes, code: bytes) -> None:
--- a/borageworks/wire/links.py
+++ b/borageworks/wire/links.py
@@ -28,7 +28,7 @@
 MESSAGE_OVERHEAD_BYTES = 128  # estimate, without the variable part
 # Bounds the estimated size; leaves room for the error of the estimate.
 MAX_BATCH_BYTES = MAX_FRAME_BYTES // 2
-MAX_LAZY_DELAY_S = 0.5
+MAX_DEFERRABLE_DELAY_S = 0.5
 CONNECT_TIMEOUT_S = 2.0
 HANDSHAKE_TIMEOUT_S = 2.0
 # Two links that both sides opened at the same time become ready within this time.
@@ -66,7 +66,7 @@
     queued_bytes: int = 0
     backoff_s: float = 0.0
     retry_timer: Subscription | None = None
-    lazy_timer: Subscription | None = None
+    deferrable_timer: Subscription | None = None
     reconnect_on_retry: bool = False
     queue_while_retrying: bool = False
 
@@ -175,8 +175,8 @@
         for peer in list(self._peers.values()):
             if peer.retry_timer is not None:
                 peer.retry_timer.cancel()
-            if peer.lazy_timer is not None:
-                peer.lazy_timer.cancel()
+            if peer.deferrable_timer is not None:
+                peer.deferrable_timer.cancel()
             self._drop_queue(peer, "stopped")
         for link in list(self._links):
             link.close()
@@ -201,8 +201,8 @@
         self._drop_queue(peer, "removed")
         if peer.retry_timer is not None:
             peer.retry_timer.cancel()
-        if peer.lazy_timer is not None:
-            peer.lazy_timer.cancel()
+        if peer.deferrable_timer is not None:
+            peer.deferrable_timer.cancel()
         for link in self._links:
             if instance in (link.dialed, link.peer and link.peer.instance):
                 link.close()
@@ -210,12 +210,14 @@
             peer.link = None
             self._report_disconnected(instance)
 
-    def send(self, instance: str, message: Message, *, lazy: bool = False) -> bool:
+    def send(
+        self, instance: str, message: Message, *, deferrable: bool = False
+    ) -> bool:
         """Queue a message, to be sent in the next iteration of the event loop.
 
-        A lazy message is sent together with the next other message to the instance, but
-        after half a second at most: a separate frame adds more bytes than the message
-        itself has.
+        A deferrable message is sent together with the next other message to the
+        instance, but after half a second at most: a separate frame adds more bytes than
+        the message itself has.
 
         Returns
         -------
@@ -244,11 +246,11 @@
             return False
         peer.queue.append((message, message_bytes))
         peer.queued_bytes += message_bytes
-        if not lazy:
+        if not deferrable:
             self._schedule_flush(instance)
-        elif peer.lazy_timer is None or peer.lazy_timer.cancelled:
-            peer.lazy_timer = self._timers.after(
-                MAX_LAZY_DELAY_S, lambda _now: self._schedule_flush(instance)
+        elif peer.deferrable_timer is None or peer.deferrable_timer.cancelled:
+            peer.deferrable_timer = self._timers.after(
+                MAX_DEFERRABLE_DELAY_S, lambda _now: self._schedule_flush(instance)
             )
         return True
 
--- a/borageworks/wire/messages.py
+++ b/borageworks/wire/messages.py
@@ -290,7 +290,7 @@
     alone: bool
 
 
-class PlaceState(IntEnum):
+class PlacementState(IntEnum):
     """State of a request for an endpoint."""
 
     PLACED = 0
@@ -339,7 +339,7 @@
     """
 
     number: int
-    state: PlaceState
+    state: PlacementState
     endpoint: str = ""
     unread_tokens: int = 0
     reason: int = 0
--- a/borageworks/wire/tests/test_links.py
+++ b/borageworks/wire/tests/test_links.py
@@ -110,18 +110,18 @@
 
         self.run_scenario(scenario, ("a",), ("b",))
 
-    def test_lazy_messages_arrive_with_others_or_after_a_delay(self):
-        """Guards against lazy messages that are never sent."""
+    def test_deferrable_messages_arrive_with_others_or_after_a_delay(self):
+        """Guards against deferrable messages that are never sent."""
 
         async def scenario(a, b):
             a.set_address_of(b)
             sent = [Demand("p", "o", number) for number in range(4)]
             a.links.send("b", sent[0])
             await wait_until(lambda: len(b.messages) == 1)
-            a.links.send("b", sent[1], lazy=True)
+            a.links.send("b", sent[1], deferrable=True)
             a.links.send("b", sent[2])
             await wait_until(lambda: len(b.messages) == 3)
-            a.links.send("b", sent[3], lazy=True)
+            a.links.send("b", sent[3], deferrable=True)
             await wait_until(lambda: len(b.messages) == 4)
             self.assertEqual(sent, b.messages)
 
