--- a/borageworks/api/protocol.py
+++ b/borageworks/api/connection.py
@@ -19,14 +19,14 @@
 RefusalCounter = Callable[[RefusalError], None]
 
 
-class CallerProtocol(web.RequestHandler):
+class CallerConnection(web.RequestHandler):
     """HTTP connection of one caller.
 
     aiohttp responds in plain text to requests that it cannot parse; this class sends
     the same problem details as for every other refusal, and counts the refusal.
     """
 
-    __slots__ = ("_count_refusal", "answering")
+    __slots__ = ("_count_refusal", "request_in_progress")
 
     def __init__(
         self,
@@ -34,24 +34,24 @@
         loop: asyncio.AbstractEventLoop,
         count_refusal: RefusalCounter,
         *,
-        line_bytes: int = MAX_LINE_BYTES,
+        max_line_bytes: int = MAX_LINE_BYTES,
         idle_timeout_s: float = KEEP_ALIVE_TIMEOUT_S,
     ) -> None:
         super().__init__(
             server,
             loop=loop,
             access_log=None,  # type: ignore[arg-type]  # the annotation omits None
-            max_line_size=line_bytes,
-            max_field_size=line_bytes,
+            max_line_size=max_line_bytes,
+            max_field_size=max_line_bytes,
             keepalive_timeout=idle_timeout_s,
             auto_decompress=False,
         )
         self._count_refusal = count_refusal
-        self.answering = False
+        self.request_in_progress = False
 
     def close_if_idle(self) -> None:
         """Close the connection unless a request is in progress on it."""
-        if not self.answering and self.transport is not None:
+        if not self.request_in_progress and self.transport is not None:
             self.transport.close()
 
     def handle_error(
--- a/borageworks/api/server.py
+++ b/borageworks/api/server.py
@@ -14,8 +14,8 @@
 from borageworks.api.authentication import authenticate
 from borageworks.api.backend import Backend
 from borageworks.api.completion import parse_completion
+from borageworks.api.connection import CallerConnection
 from borageworks.api.problem import problem_event, problem_response
-from borageworks.api.protocol import CallerProtocol
 from borageworks.api.sink import ResponseSink
 from borageworks.catalog.objects import Organisation, PoolKind, Service
 from borageworks.catalog.replica import Replica
@@ -111,10 +111,10 @@
         if self._runner is not None:
             await self._runner.cleanup()
 
-    def _connect(self) -> CallerProtocol:
+    def _connect(self) -> CallerConnection:
         assert self._runner is not None
         assert self._runner.server is not None
-        return CallerProtocol(
+        return CallerConnection(
             self._runner.server, asyncio.get_running_loop(), self._count_refusal
         )
 
--- a/borageworks/api/sink.py
+++ b/borageworks/api/sink.py
@@ -22,16 +22,16 @@
         The caller's request.
     request_id
         Value of the header ``X-Request-Id``.
-    last
+    close_after
         Whether to close the connection after the response.
     """
 
     def __init__(
-        self, request: web.BaseRequest, request_id: str, *, last: bool = False
+        self, request: web.BaseRequest, request_id: str, *, close_after: bool = False
     ) -> None:
         self._request = request
         self._request_id = request_id
-        self._last = last
+        self._close_after = close_after
         self._response: web.StreamResponse | None = None
         self._finished = False
 
@@ -59,7 +59,7 @@
         for name, value in headers:
             self._response.headers.add(name, value)
         self._response.headers["X-Request-Id"] = self._request_id
-        if self._last:
+        if self._close_after:
             self._response.force_close()
         try:
             await self._response.prepare(self._request)
--- a/borageworks/gateway/frontend.py
+++ b/borageworks/gateway/frontend.py
@@ -8,8 +8,8 @@
 
 from aiohttp import web
 
+from borageworks.api.connection import CallerConnection
 from borageworks.api.problem import problem_response
-from borageworks.api.protocol import CallerProtocol
 from borageworks.api.sink import ResponseSink
 from borageworks.events import Event, emit
 from borageworks.exceptions import (
@@ -125,7 +125,7 @@
         if self._server is None:
             return
         for connection in self._server.connections:
-            if isinstance(connection, CallerProtocol):
+            if isinstance(connection, CallerConnection):
                 connection.close_if_idle()
 
     async def stop(self) -> None:
@@ -133,15 +133,15 @@
         if self._server is not None:
             await self._server.shutdown()
 
-    def _new_protocol(self) -> CallerProtocol:
+    def _new_protocol(self) -> CallerConnection:
         assert self._server is not None
         deployment = self._directory.deployment
         limits = deployment.limits if deployment is not None else None
-        return CallerProtocol(
+        return CallerConnection(
             self._server,
             asyncio.get_running_loop(),
             self._count_refusal,
-            line_bytes=limits.header_bytes if limits else INITIAL_MAX_HEADER_BYTES,
+            max_line_bytes=limits.header_bytes if limits else INITIAL_MAX_HEADER_BYTES,
             idle_timeout_s=limits.idle_timeout_s if limits else INITIAL_IDLE_TIMEOUT_S,
         )
 
@@ -153,12 +153,12 @@
         self._running += 1
         self._metrics.count("requests")
         protocol = http_request.protocol
-        assert isinstance(protocol, CallerProtocol)
-        protocol.answering = True
+        assert isinstance(protocol, CallerConnection)
+        protocol.request_in_progress = True
         try:
             return await self._respond(http_request, received_at)
         finally:
-            protocol.answering = False
+            protocol.request_in_progress = False
             self._running -= 1
 
     async def _respond(
@@ -173,7 +173,7 @@
         request = self._codec.decode_request(
             http_request.method, http_request.raw_path, http_request.headers
         )
-        sink = ResponseSink(http_request, request.id, last=self._shutdown.begun)
+        sink = ResponseSink(http_request, request.id, close_after=self._shutdown.begun)
         runner: ExchangeRunner | None = None
         try:
             exchange = await self._prepare_exchange(http_request, request, received_at)
