--- a/borageworks/claims/answers.py
+++ b/borageworks/claims/response_cache.py
@@ -4,11 +4,11 @@
 
 from collections import OrderedDict
 
-from borageworks.claims.retained import RetainedAnswer
+from borageworks.claims.retained_response import RetainedResponse
 from borageworks.wire.messages import HeldAnswer
 
 
-class HeldAnswers:
+class ResponseCache:
     """Size-bounded LRU cache of responses by key hash.
 
     Parameters
@@ -20,7 +20,7 @@
     def __init__(self, limit_bytes: int) -> None:
         self._limit_bytes = limit_bytes
         self._running: set[bytes] = set()
-        self._responses: OrderedDict[bytes, RetainedAnswer] = OrderedDict()
+        self._responses: OrderedDict[bytes, RetainedResponse] = OrderedDict()
         self._size_bytes = 0
 
     @property
@@ -28,7 +28,7 @@
         """Total size of the retained responses."""
         return self._size_bytes
 
-    def start(self, key_hash: bytes) -> None:
+    def mark_running(self, key_hash: bytes) -> None:
         """Mark a claimed request as queued or running on this instance."""
         self._running.add(key_hash)
 
@@ -36,7 +36,7 @@
         """Remove a request that ended without a response to retain."""
         self._running.discard(key_hash)
 
-    def hold(self, key_hash: bytes, response: RetainedAnswer) -> None:
+    def store(self, key_hash: bytes, response: RetainedResponse) -> None:
         """Retain the response of a request unless it alone exceeds the limit."""
         self._running.discard(key_hash)
         previous = self._responses.pop(key_hash, None)
@@ -50,7 +50,7 @@
             _, dropped = self._responses.popitem(last=False)
             self._size_bytes -= dropped.size_bytes
 
-    def find(self, key_hash: bytes) -> tuple[HeldAnswer, RetainedAnswer | None]:
+    def find(self, key_hash: bytes) -> tuple[HeldAnswer, RetainedResponse | None]:
         """Return the status of a request, and its response if it is retained."""
         if key_hash in self._running:
             return HeldAnswer.RUNNING, None
--- a/borageworks/claims/retained.py
+++ b/borageworks/claims/retained_response.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class RetainedAnswer:
+class RetainedResponse:
     """Complete response of a non-idempotent request."""
 
     status: int
--- a/borageworks/claims/service.py
+++ b/borageworks/claims/service.py
@@ -137,8 +137,8 @@
         -------
         ClaimReply
             `DUPLICATE` and `BODY_MISMATCH` contain the holder and state of the first
-            claim; see `instance_of`. After `EXPIRED` and `UNAVAILABLE`, this request
-            has not run and must not run.
+            claim; see `response_holder`. After `EXPIRED` and `UNAVAILABLE`, this
+            request has not run and must not run.
         """
         self._last_request_id += 1
         request_id = self._last_request_id
@@ -178,7 +178,7 @@
         """
         self._send_finish(key.hash(organisation), ClaimState.RELEASED)
 
-    def instance_of(self, reply: ClaimReply) -> str | None:
+    def response_holder(self, reply: ClaimReply) -> str | None:
         """Return the live instance that may have the response to the first request.
 
         Returns
--- a/borageworks/claims/tests/test_service.py
+++ b/borageworks/claims/tests/test_service.py
@@ -140,7 +140,7 @@
                 for instance in "abc":
                     reply = await f.services[instance].claim("o", key, BODY)
                     self.assertEqual(ClaimOutcome.DUPLICATE, reply.outcome)
-                    self.assertEqual("a", f.services[instance].instance_of(reply))
+                    self.assertEqual("a", f.services[instance].response_holder(reply))
                 other = await f.services["c"].claim("o", key, body_hash(b"other"))
                 self.assertEqual(ClaimOutcome.BODY_MISMATCH, other.outcome)
                 f.services["a"].finish("o", key, ClaimState.DONE)
@@ -221,9 +221,9 @@
                 f.start("a")
                 reply = await f.services["a"].claim("o", key, BODY)
                 self.assertEqual(ClaimOutcome.DUPLICATE, reply.outcome)
-                self.assertIsNone(f.services["a"].instance_of(reply))
+                self.assertIsNone(f.services["a"].response_holder(reply))
                 f.live_members = ["b"]
-                self.assertIsNone(f.services["b"].instance_of(reply))
+                self.assertIsNone(f.services["b"].response_holder(reply))
 
         asyncio.run(run())
 
--- a/borageworks/claims/tests/test_values.py
+++ b/borageworks/claims/tests/test_values.py
@@ -9,10 +9,13 @@
 from hypothesis import strategies as st
 from testtools import ExpectedException
 
-from borageworks.claims.answers import HeldAnswers
 from borageworks.claims.key import IdempotencyKey
 from borageworks.claims.record import ClaimRecord
-from borageworks.claims.retained import RESPONSE_OVERHEAD_BYTES, RetainedAnswer
+from borageworks.claims.response_cache import ResponseCache
+from borageworks.claims.retained_response import (
+    RESPONSE_OVERHEAD_BYTES,
+    RetainedResponse,
+)
 from borageworks.claims.segment import Segment
 from borageworks.claims.sharding import shard_of, shard_writer
 from borageworks.config.settings import ClaimSettings
@@ -116,21 +119,21 @@
     """Guards against unbounded memory use and lost track of running requests."""
 
     def test_the_least_recently_used_response_is_evicted_first(self):
-        responses = HeldAnswers(2 * RESPONSE_OVERHEAD_BYTES + 200)
+        responses = ResponseCache(2 * RESPONSE_OVERHEAD_BYTES + 200)
         for key in (b"a", b"b"):
-            responses.start(key)
-            responses.hold(key, RetainedAnswer(200, "", b"x" * 100))
+            responses.mark_running(key)
+            responses.store(key, RetainedResponse(200, "", b"x" * 100))
         responses.find(b"a")
-        responses.hold(b"c", RetainedAnswer(200, "", b"x" * 100))
+        responses.store(b"c", RetainedResponse(200, "", b"x" * 100))
         found = [responses.find(key)[0] for key in (b"a", b"b", b"c")]
         self.assertEqual([HeldAnswer.HELD, HeldAnswer.GONE, HeldAnswer.HELD], found)
-        responses.hold(b"d", RetainedAnswer(200, "", b"x" * 5000))
+        responses.store(b"d", RetainedResponse(200, "", b"x" * 5000))
         self.assertEqual(HeldAnswer.GONE, responses.find(b"d")[0])
         self.assertEqual(2 * RESPONSE_OVERHEAD_BYTES + 200, responses.size_bytes)
 
     def test_a_running_request_is_known_until_it_ends(self):
-        responses = HeldAnswers(0)
-        responses.start(b"a")
+        responses = ResponseCache(0)
+        responses.mark_running(b"a")
         self.assertEqual((HeldAnswer.RUNNING, None), responses.find(b"a"))
         responses.discard(b"a")
         self.assertEqual((HeldAnswer.GONE, None), responses.find(b"a"))
--- a/borageworks/router/at_most_once.py
+++ b/borageworks/router/at_most_once.py
@@ -6,9 +6,9 @@
 import itertools
 from collections.abc import Callable
 
-from borageworks.claims.answers import HeldAnswers
 from borageworks.claims.key import IdempotencyKey, body_hash
-from borageworks.claims.retained import RetainedAnswer
+from borageworks.claims.response_cache import ResponseCache
+from borageworks.claims.retained_response import RetainedResponse
 from borageworks.claims.service import ClaimService
 from borageworks.config.settings import ClaimSettings
 from borageworks.endpoints.call import Call
@@ -76,7 +76,7 @@
         self._claims = claims
         self._metrics = metrics
         self._send = send
-        self._responses = HeldAnswers(settings.held_answer_bytes)
+        self._responses = ResponseCache(settings.held_answer_bytes)
         self._sequence = itertools.count(1)
         self._queries: dict[int, asyncio.Future[HeldAnswerReply]] = {}
         self._run_tasks: set[asyncio.Task[None]] = set()
@@ -123,7 +123,7 @@
             case HeldAnswerQuery():
                 found, response = self._responses.find(message.key_hash)
                 if response is None:
-                    response = RetainedAnswer(0, "", b"")
+                    response = RetainedResponse(0, "", b"")
                 self._send(
                     sender,
                     HeldAnswerReply(
@@ -150,7 +150,7 @@
 
     async def _execute(self, call: Call, sink: Sink, key: IdempotencyKey) -> None:
         key_hash = key.hash(call.organisation)
-        self._responses.start(key_hash)
+        self._responses.mark_running(key_hash)
         tee = TeeSink(sink, MAX_RETAINED_RESPONSE_BYTES)
         try:
             await self._entry.run(call, tee)
@@ -169,8 +169,8 @@
         if tee.body is None:
             self._responses.discard(key_hash)
         else:
-            self._responses.hold(
-                key_hash, RetainedAnswer(tee.status, tee.content_type, tee.body)
+            self._responses.store(
+                key_hash, RetainedResponse(tee.status, tee.content_type, tee.body)
             )
         if tee.caller_error is not None:
             raise tee.caller_error
@@ -183,7 +183,7 @@
             raise IdempotencyKeyReleasedError(
                 "the first request with this key did not run; resend it with a new key"
             )
-        holder = self._claims.instance_of(reply)
+        holder = self._claims.response_holder(reply)
         if holder is not None:
             holder_reply = await self._query_holder(holder, key.hash(call.organisation))
             match holder_reply.found:
