--- a/borageworks/fair/queue.py
+++ b/borageworks/fair/queue.py
@@ -152,7 +152,7 @@
         account.refund_floor += account.virtual_time - before
         self._update_position(organisation, account)
 
-    def drop_entry(self, entry: str) -> None:
+    def remove_entry(self, entry: str) -> None:
         """Remove all demand of an entry instance."""
         for organisation in sorted(self._entries.get(entry, ())):
             self._remove_demand(entry, organisation)
--- a/borageworks/fair/tests/naive_queue.py
+++ b/borageworks/fair/tests/naive_queue.py
@@ -94,7 +94,7 @@
         self.time[organisation] = after
         self.refund_floor[organisation] += after - before
 
-    def drop_entry(self, entry):
+    def remove_entry(self, entry):
         for key in [key for key in self.waiting if key[0] == entry]:
             del self.waiting[key]
 
--- a/borageworks/fair/tests/test_queue.py
+++ b/borageworks/fair/tests/test_queue.py
@@ -61,8 +61,8 @@
                     fair.correct(organisation, delta)
                     naive.correct(organisation, delta)
                 case ("drop", entry):
-                    fair.drop_entry(entry)
-                    naive.drop_entry(entry)
+                    fair.remove_entry(entry)
+                    naive.remove_entry(entry)
                 case ("share", organisation, share):
                     fair.set_share(organisation, share)
                     naive.share[organisation] = share
--- a/borageworks/router/owner.py
+++ b/borageworks/router/owner.py
@@ -177,7 +177,7 @@
         """Free the slots of an entry instance after the link to it was lost."""
         self._isolation.remove_entry(entry)
         for pool in self._pools.values():
-            pool.queue.drop_entry(entry)
+            pool.queue.remove_entry(entry)
         freed_pools = set()
         for grant in self._grants.of_entry(entry):
             self._grants.pop(grant.grant_id)
