--- a/borageworks/api/tests/test_server.py
+++ b/borageworks/api/tests/test_server.py
@@ -25,7 +25,7 @@
     QueueTimeoutError,
 )
 from borageworks.metrics import Metrics
-from borageworks.router.tests.harness import settings_for
+from borageworks.router.tests.fake_network import settings_for
 
 KEY = "key-a"
 HEADERS = {"Authorization": f"Bearer {KEY}"}
--- a/borageworks/router/tests/test_entry_and_owner.py
+++ b/borageworks/router/tests/test_entry_and_owner.py
@@ -11,7 +11,7 @@
     Ran,
     RequestSuspectedError,
 )
-from borageworks.router.tests.harness import FakeNetwork, replica_with
+from borageworks.router.tests.fake_network import FakeNetwork, replica_with
 
 
 async def gather(*requests):
--- a/borageworks/router/tests/test_service_exchange.py
+++ b/borageworks/router/tests/test_service_exchange.py
@@ -7,7 +7,7 @@
 from borageworks.catalog.replica import Replica
 from borageworks.metrics import Metrics
 from borageworks.router.service_exchange import ServiceExchange
-from borageworks.router.tests.harness import settings_for
+from borageworks.router.tests.fake_network import settings_for
 
 
 class FakeTimers:
