--- a/borageworks_emulator/platform/tests/test_endless.py
+++ b/borageworks_emulator/platform/tests/test_unbounded_response.py
@@ -6,7 +6,7 @@
 import aiohttp
 from testtools import TestCase
 
-from borageworks_emulator.platform.endless import ENDLESS, EndlessEndpoint
+from borageworks_emulator.platform.unbounded_response import ENDLESS, EndlessEndpoint
 from borageworks_emulator.platform.engine import Behaviour, EmulatedEndpoint
 from borageworks_emulator.platform.harness import DESK, ENGINES, Harness
 
