--- a/borageworks_emulator/platform/__init__.py
+++ b/borageworks_emulator/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-in of the platform of the first users: store, engines and a small fleet."""
+"""Emulated store and endpoints of the platform, and a test harness for its gateway."""
--- a/borageworks_emulator/platform/engine.py
+++ b/borageworks_emulator/platform/engine.py
@@ -1,4 +1,4 @@
-"""Stand-in of one endpoint of the platform, with faults to switch on."""
+"""Emulated endpoint of the platform, with configurable faults."""
 
 from __future__ import annotations
 
@@ -14,42 +14,42 @@
 
 SEAL = "X-Borageworks-Response-Seal"
 REQUEST_ID = "X-Borageworks-Attempt-Id"
-RESET_PAUSE_S = 0.02
+RESET_DELAY_S = 0.02
 
 
 @dataclass(frozen=True, slots=True)
 class Behaviour:
-    """How an endpoint treats one request.
+    """How an endpoint handles one request.
 
     Parameters
     ----------
     status
-        Status of its answer.
+        HTTP status of the response.
     not_run
-        Whether it refuses without running the request.
+        Whether it refuses the request and states that it was not run.
     hang
-        Whether it never answers.
+        Whether it never responds.
     break_after
         Number of events after which it resets the connection, None for never; 0 resets
-        before the head of the answer.
+        before the headers of the response.
     torn
-        Whether it breaks off in the middle of an event.
-    echo
-        Request id that it states, None for the right one.
-    seal
-        Whether it vouches for its answer.
-    unframed
-        Whether the answer has no length and is ended by a reset.
+        Whether the reset cuts an event in the middle.
+    stated_request_id
+        Request id in the response headers, None for that of the request.
+    sealed
+        Whether the response carries the seal header.
+    without_length
+        Whether the response has neither length nor chunks and ends by a reset.
     events
         Number of events of a stream.
     pause_s
         Seconds between events.
     plain
-        Whether it answers with a plain body.
+        Whether the response has a plain body instead of an event stream.
     named
-        Whether body and events carry the request's id.
+        Whether body and events contain the request id.
     think_s
-        Seconds before its answer, or its first event.
+        Seconds before the response, or the first event of a stream.
     """
 
     status: int = 200
@@ -57,9 +57,9 @@
     hang: bool = False
     break_after: int | None = None
     torn: bool = False
-    echo: str | None = None
-    seal: bool = True
-    unframed: bool = False
+    stated_request_id: str | None = None
+    sealed: bool = True
+    without_length: bool = False
     events: int = 5
     pause_s: float = 0.0
     plain: bool = False
@@ -69,7 +69,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """A request that an endpoint began to run, at a time of the loop."""
+    """A request that an endpoint has started to run; `at` is event loop time."""
 
     id: str
     method: str
@@ -85,14 +85,14 @@
     Parameters
     ----------
     name
-        Identity, which requests name.
+        Name under which it is registered; it refuses requests that expect another one.
     behave
-        Returns how a request is treated.
+        Returns how a request is handled.
 
     Attributes
     ----------
     began, finished
-        Called when a request begins to run, and when the endpoint has stopped to work
+        Called when a request starts to run, and when the endpoint has stopped working
         on it.
     """
 
@@ -108,20 +108,20 @@
         self.cancelled: list[str] = []
         self.address = ("127.0.0.1", 0)
         self._server: web.Server | None = None
-        self._listener: asyncio.Server | None = None
+        self._tcp_server: asyncio.Server | None = None
 
     async def start(self) -> None:
-        """Listen on a free port, or on the one that it had."""
+        """Listen on a free port, or on the previous one after a restart."""
         self._server = web.Server(self._handle, handler_cancellation=True)
-        self._listener = await asyncio.get_running_loop().create_server(
+        self._tcp_server = await asyncio.get_running_loop().create_server(
             self._server, *self.address
         )
-        self.address = self._listener.sockets[0].getsockname()[:2]
+        self.address = self._tcp_server.sockets[0].getsockname()[:2]
 
     async def stop(self) -> None:
         """Close the port and all connections."""
-        if self._listener is not None:
-            self._listener.close()
+        if self._tcp_server is not None:
+            self._tcp_server.close()
         if self._server is not None:
             for protocol in self._server.connections:
                 if protocol.transport is not None:
@@ -129,7 +129,7 @@
             await self._server.shutdown(0.1)
 
     def entry(self, service: str, *, state: str = "ready", slots: int = 8) -> bytes:
-        """Return the entry with which it registers itself."""
+        """Return the store entry that registers the endpoint."""
         return endpoint_entry(self.address, service, state, slots)
 
     async def _handle(self, request: web.BaseRequest) -> web.StreamResponse:
@@ -140,21 +140,21 @@
             return web.json_response(
                 {"epoch": "1", "next": 1, "lost": False, "events": []}
             )
-        identity = request.headers.get(REQUEST_ID, "")
+        request_id = request.headers.get(REQUEST_ID, "")
         if request.headers.get("X-Borageworks-Expect-Instance") != self.name:
             self.refused += 1
             return web.Response(status=421)
         body = await request.read()
         behaviour = self.behave(request)
-        headers = {REQUEST_ID: behaviour.echo or identity}
-        if behaviour.seal:
+        headers = {REQUEST_ID: behaviour.stated_request_id or request_id}
+        if behaviour.sealed:
             headers[SEAL] = f"seal-of-{self.name}"
         if behaviour.not_run:
             self.refused += 1
             headers["X-Borageworks-Not-Executed"] = "1"
             return web.Response(status=503, headers=headers)
         run = Run(
-            identity,
+            request_id,
             request.method,
             request.raw_path,
             request.headers,
@@ -166,11 +166,11 @@
         try:
             return await self._run(request, behaviour, headers)
         except asyncio.CancelledError:
-            self.cancelled.append(identity)
+            self.cancelled.append(request_id)
             raise
         except ConnectionResetError:
-            # The caller left between two writes.
-            self.cancelled.append(identity)
+            # The caller disconnected between two writes.
+            self.cancelled.append(request_id)
             raise asyncio.CancelledError from None
         finally:
             self.finished(run)
@@ -184,14 +184,15 @@
         if behaviour.break_after == 0:
             _reset(request)
         await asyncio.sleep(behaviour.think_s)
-        identity = request.headers.get(REQUEST_ID, "") if behaviour.named else ""
+        request_id = request.headers.get(REQUEST_ID, "") if behaviour.named else ""
         if behaviour.status != 200 or behaviour.plain:
-            text = plain_text(self.name, identity)
+            text = plain_text(self.name, request_id)
             return web.Response(status=behaviour.status, headers=headers, text=text)
         response = web.StreamResponse(headers=headers)
         response.content_type = "text/event-stream"
-        if behaviour.unframed:
-            # An answer that ends with its connection carries neither header.
+        if behaviour.without_length:
+            # A response that ends with its connection has neither Content-Length nor
+            # Transfer-Encoding.
             request.transport.write(
                 b"HTTP/1.1 200 OK\r\n"
                 + b"".join(f"{k}: {v}\r\n".encode() for k, v in headers.items())
@@ -206,18 +207,18 @@
             if sent == behaviour.break_after:
                 if behaviour.torn:
                     await response.write(f"id: {event}\nda".encode())
-                # A reset would otherwise overtake what was sent before it.
-                await asyncio.sleep(RESET_PAUSE_S)
+                # An immediate reset would discard data that is still in flight.
+                await asyncio.sleep(RESET_DELAY_S)
                 _reset(request)
                 return response
-            await response.write(event_bytes(event, identity))
+            await response.write(event_bytes(event, request_id))
             await asyncio.sleep(behaviour.pause_s)
         await response.write_eof()
         return response
 
 
 def _reset(request: web.BaseRequest) -> None:
-    """Reset the connection of a request, so that the peer sees no regular end."""
+    """Reset the connection of a request, so that the peer sees no orderly close."""
     transport = request.transport
     assert transport is not None
     connection = transport.get_extra_info("socket")
@@ -228,7 +229,7 @@
 def endpoint_entry(
     address: tuple[str, int], service: str, state: str = "ready", slots: int = 8
 ) -> bytes:
-    """Return the entry with which an endpoint registers itself."""
+    """Return the store entry that registers an endpoint."""
     return orjson.dumps(
         {
             "service": service,
@@ -243,11 +244,11 @@
     )
 
 
-def event_bytes(event: int, identity: str = "") -> bytes:
+def event_bytes(event: int, request_id: str = "") -> bytes:
     """Return one event of a stream."""
-    return f"id: {event}\ndata: {event}{identity}\n\n".encode()
+    return f"id: {event}\ndata: {event}{request_id}\n\n".encode()
 
 
-def plain_text(endpoint: str, identity: str = "") -> str:
-    """Return the body of a plain answer."""
-    return f"by {endpoint}{identity}"
+def plain_text(endpoint: str, request_id: str = "") -> str:
+    """Return the body of a plain response."""
+    return f"by {endpoint}{request_id}"
--- a/borageworks_emulator/platform/harness.py
+++ b/borageworks_emulator/platform/harness.py
@@ -1,4 +1,4 @@
-"""A gateway in this process, in front of emulated endpoints and store."""
+"""Test harness: a gateway in this process with emulated endpoints and store."""
 
 from __future__ import annotations
 
@@ -24,8 +24,8 @@
 KEY = "key-1"
 ENGINES = "engines"
 DESK = "desk"
-READY_LIMIT_S = 10.0
-READY_POLL_S = 0.01
+READY_TIMEOUT_S = 10.0
+POLL_INTERVAL_S = 0.01
 
 
 def settings_text(
@@ -35,7 +35,7 @@
     grace_s: float = 8,
     domain: str = "zone-a",
 ) -> str:
-    """Return a settings file of the platform."""
+    """Return the text of a gateway's settings file."""
     front, ready, control, peer = ports
     return "\n".join(
         (
@@ -61,19 +61,21 @@
 
 
 def configuration(version: int = 1, **changes: Any) -> dict[str, Any]:
-    """Return an operator's configuration with one route of each kind."""
+    """Return an operator's configuration with one route of each type."""
 
-    def route(name: str, kind: str, service: str, **more: Any) -> dict[str, Any]:
+    def route(
+        name: str, route_type: str, service: str, **fields: Any
+    ) -> dict[str, Any]:
         return {
             "name": name,
             "hostname": HOST,
             "prefix": f"/{name}/",
-            "route_type": kind,
+            "route_type": route_type,
             "timeout_ms": 3000,
             "target_latency_ms": 500,
             "max_attempts": 2,
             "service": service,
-            **more,
+            **fields,
         }
 
     return {
@@ -100,14 +102,18 @@
 
 
 class Harness:
-    """A gateway, a store, and endpoints by service.
+    """A gateway with a store and endpoints.
 
     Parameters
     ----------
     endpoints
         Endpoints by service.
+    name
+        Instance name of the gateway.
+    store
+        Store of another harness, which also runs the endpoints; None starts a new one.
     grace_s
-        Time between the request to stop and the kill.
+        Seconds between the stop request and the kill.
     """
 
     def __init__(
@@ -120,19 +126,19 @@
     ) -> None:
         self.endpoints = endpoints
         self.store = store or EmulatedPlatformStore()
-        self._own_store = store is None
+        self._owns_store = store is None
         self._name = name
         self._grace_s = grace_s
         self.metrics = Metrics()
         self.ports: list[int] = []
-        self._number = 0
+        self._request_number = 0
 
     async def __aenter__(self) -> Harness:
-        """Start all parts and wait until the gateway is ready."""
-        if self._own_store:
+        """Start all components and wait until the gateway is ready."""
+        if self._owns_store:
             await self.store.start()
-            for service, members in self.endpoints.items():
-                for endpoint in members:
+            for service, service_endpoints in self.endpoints.items():
+                for endpoint in service_endpoints:
                     await endpoint.start()
                     await self.register(endpoint, service)
             await self.configure(configuration())
@@ -140,7 +146,8 @@
         settings = parse_settings(
             settings_text(self.store.address, self.ports, self._name, self._grace_s)
         )
-        # All parts share one loop here, so its lag says nothing about the gateway.
+        # All components share one event loop, so its lag does not show how loaded the
+        # gateway is.
         settings = replace(settings, lag_limit_s=math.inf)
         self.platform_store = PlatformStore(settings, self.metrics)
         self.gateway = Gateway(
@@ -150,72 +157,72 @@
         self.session = aiohttp.ClientSession(
             base_url=f"http://127.0.0.1:{self.ports[0]}"
         )
-        async with asyncio.timeout(READY_LIMIT_S):
+        async with asyncio.timeout(READY_TIMEOUT_S):
             while not await self.ready():  # noqa: ASYNC110
-                await asyncio.sleep(READY_POLL_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
         return self
 
     async def __aexit__(self, *_: object) -> None:
-        """End all parts at once."""
+        """Stop all components without a grace period."""
         await self.session.close()
         await self.gateway.close()
-        if self._own_store:
-            for members in self.endpoints.values():
-                for endpoint in members:
+        if self._owns_store:
+            for service_endpoints in self.endpoints.values():
+                for endpoint in service_endpoints:
                     await endpoint.stop()
             await self.store.stop()
 
-    async def current(self) -> None:
-        """Wait until the gateway has all changes of the store."""
-        await self._until(lambda: self.gateway.revision >= self.store.revision)
+    async def wait_until_current(self) -> None:
+        """Wait until the gateway has applied all changes of the store."""
+        await self._wait_until(lambda: self.gateway.revision >= self.store.revision)
 
-    async def linked(self, count: int) -> None:
-        """Wait until the gateway knows and can reach so many instances."""
-        await self._until(lambda: self.gateway.linked_instances >= count)
+    async def wait_until_linked(self, count: int) -> None:
+        """Wait until the gateway knows and can reach `count` instances."""
+        await self._wait_until(lambda: self.gateway.linked_instances >= count)
 
-    async def _until(self, condition: Callable[[], bool]) -> None:
-        async with asyncio.timeout(READY_LIMIT_S):
+    async def _wait_until(self, condition: Callable[[], bool]) -> None:
+        async with asyncio.timeout(READY_TIMEOUT_S):
             while not condition():  # noqa: ASYNC110
-                await asyncio.sleep(READY_POLL_S)
+                await asyncio.sleep(POLL_INTERVAL_S)
 
     async def register(
         self, endpoint: EmulatedEndpoint, service: str, **entry: Any
     ) -> None:
-        """Write the entry of an endpoint."""
+        """Write the entry of an endpoint to the store."""
         await self.store.put(
             f"servers/{endpoint.name}", endpoint.entry(service, **entry)
         )
 
     async def configure(self, body: Mapping[str, Any]) -> None:
-        """Write the operator's configuration."""
+        """Write the operator's configuration to the store."""
         await self.store.put("op/config", orjson.dumps(body))
 
     async def ready(self) -> bool:
-        """Return whether the gateway says that it is ready."""
+        """Return whether the gateway reports that it is ready."""
         async with self.session.get(
             f"http://127.0.0.1:{self.ports[1]}/ready"
         ) as response:
             return response.status == 200
 
-    def headers(self, **more: str) -> dict[str, str]:
-        """Return headers of a new request."""
-        self._number += 1
+    def request_headers(self, **extra: str) -> dict[str, str]:
+        """Return the headers of a new request."""
+        self._request_number += 1
         return {
             "Host": HOST,
             "Authorization": f"Token {KEY}",
-            "X-Borageworks-Attempt-Id": f"{self._name}-{self._number}",
+            "X-Borageworks-Attempt-Id": f"{self._name}-{self._request_number}",
             "X-Borageworks-Deadline-Remaining": "3000",
             "X-Borageworks-Model": "m",
             "X-Borageworks-Token-Count": "300,20",
             "X-Borageworks-Prompt-Prefix": "aa:200,bb:100",
-            **{name.replace("_", "-"): value for name, value in more.items()},
+            **{name.replace("_", "-"): value for name, value in extra.items()},
         }
 
-    async def ask(
+    async def send_request(
         self, path: str, method: str = "POST", body: bytes = b"x", **headers: str
     ) -> tuple[int, Mapping[str, str], bytes]:
-        """Send a request and return status, headers and whole body."""
+        """Send a request; return status, headers and body of the response."""
         async with self.session.request(
-            method, path, data=body, headers=self.headers(**headers)
+            method, path, data=body, headers=self.request_headers(**headers)
         ) as response:
             return response.status, response.headers, await response.read()
--- a/borageworks_emulator/platform/store.py
+++ b/borageworks_emulator/platform/store.py
@@ -1,4 +1,4 @@
-"""Stand-in of the platform's key-value store, with faults to switch on."""
+"""Emulated key-value store of the platform, with faults to inject."""
 
 from __future__ import annotations
 
@@ -14,15 +14,15 @@
 import orjson
 from aiohttp import web
 
-Translate = Callable[[str, bytes], bytes]
+TranslateValue = Callable[[str, bytes], bytes]
 
-PAGE_ITEMS = 500
-LEASE_POLL_S = 0.05
-FOREVER_S = 3600.0
+MAX_PAGE_ITEMS = 500
+LEASE_CHECK_INTERVAL_S = 0.05
+HANG_S = 3600.0
 
 
 class StoreFault(Enum):
-    """How the store treats calls."""
+    """How the store handles calls."""
 
     NONE = "none"
     BUSY = "busy"
@@ -48,21 +48,21 @@
 class EmulatedPlatformStore:
     """Key-value store with conditions, leases and watches over HTTP.
 
-    A reader may be given a view of its own, in which values are translated: it stands
-    for a network in which addresses differ from place to place.
+    Readers can be given a view in which values are translated. It emulates a network in
+    which the same endpoint has different addresses in different places.
     """
 
     def __init__(self) -> None:
         self._items: dict[str, _Item] = {}
         self._history: list[dict[str, Any]] = []
-        self._compacted = 0
+        self._compacted_revision = 0
         self._revision = 1
         self._leases: dict[int, _Lease] = {}
-        self._lease_numbers = itertools.count(1)
+        self._lease_ids = itertools.count(1)
         self._changed = asyncio.Condition()
         self._runner: web.AppRunner | None = None
-        self._expiry: asyncio.Task[None] | None = None
-        self._views: dict[int, Translate] = {}
+        self._expiry_task: asyncio.Task[None] | None = None
+        self._views: dict[int, TranslateValue] = {}
         self.fault = StoreFault.NONE
         self.calls: Counter[str] = Counter()
         self.address = ("127.0.0.1", 0)
@@ -79,39 +79,39 @@
 
     async def start(self) -> None:
         """Listen on a free loopback port."""
-        app = web.Application(middlewares=[self._faults])
+        app = web.Application(middlewares=[self._inject_faults])
         app.router.add_get("/kv-key", self._get)
         app.router.add_get("/kv-range", self._range)
         app.router.add_get("/kv-watch", self._watch)
-        app.router.add_post("/kv-txn", self._txn)
-        app.router.add_post("/kv-lease", self._grant)
-        app.router.add_post("/kv-keep/{id}", self._keep)
-        app.router.add_delete("/kv-lease-end/{id}", self._end)
+        app.router.add_post("/kv-txn", self._commit)
+        app.router.add_post("/kv-lease", self._grant_lease)
+        app.router.add_post("/kv-keep/{id}", self._keep_lease_alive)
+        app.router.add_delete("/kv-lease-end/{id}", self._revoke_lease)
         self._runner = web.AppRunner(app, access_log=None, shutdown_timeout=0.1)
         await self._runner.setup()
         site = web.TCPSite(self._runner, *self.address)
         await site.start()
         self.address = self._runner.addresses[0][:2]
-        self._expiry = asyncio.create_task(self._expire())
+        self._expiry_task = asyncio.create_task(self._expire_leases())
 
-    async def open_view(self, translate: Translate) -> tuple[str, int]:
-        """Listen on one more port, whose reads are translated; return its address."""
+    async def open_view(self, translate: TranslateValue) -> tuple[str, int]:
+        """Listen on another port, whose reads are translated; return its address."""
         assert self._runner is not None
-        known = set(self._runner.addresses)
+        previous = set(self._runner.addresses)
         await web.TCPSite(self._runner, self.address[0], 0).start()
-        address: tuple[str, int] = (set(self._runner.addresses) - known).pop()[:2]
+        address: tuple[str, int] = (set(self._runner.addresses) - previous).pop()[:2]
         self._views[address[1]] = translate
         return address
 
     async def stop(self) -> None:
-        """Close all connections."""
-        if self._expiry is not None:
-            self._expiry.cancel()
+        """Stop the server and close all connections."""
+        if self._expiry_task is not None:
+            self._expiry_task.cancel()
         if self._runner is not None:
             await self._runner.cleanup()
 
     async def put(self, key: str, value: bytes, lease: int = 0) -> int:
-        """Write as the operator or an endpoint does; return the revision."""
+        """Write a key as the operator or an endpoint does; return the revision."""
         async with self._changed:
             self._write(key, value, lease)
             self._changed.notify_all()
@@ -124,18 +124,18 @@
             self._changed.notify_all()
 
     async def compact(self) -> None:
-        """Forget the history."""
+        """Drop the history of changes, as a compaction does."""
         async with self._changed:
             self._history.clear()
-            self._compacted = self._revision
+            self._compacted_revision = self._revision
             self._changed.notify_all()
 
     def _write(self, key: str, value: bytes, lease: int) -> None:
         self._revision += 1
-        known = self._items.get(key)
-        created = known.created if known is not None else self._revision
+        previous = self._items.get(key)
+        created = previous.created if previous is not None else self._revision
         self._items[key] = _Item(value, self._revision, created, lease)
-        self._history.append(self._row(key))
+        self._history.append(self._entry(key))
 
     def _remove(self, key: str) -> None:
         if self._items.pop(key, None) is not None:
@@ -144,7 +144,7 @@
                 {"key": key, "revision": self._revision, "deleted": True}
             )
 
-    def _row(self, key: str) -> dict[str, Any]:
+    def _entry(self, key: str) -> dict[str, Any]:
         item = self._items[key]
         return {
             "key": key,
@@ -154,77 +154,80 @@
             "lease": item.lease,
         }
 
-    async def _expire(self) -> None:
+    async def _expire_leases(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            await asyncio.sleep(LEASE_POLL_S)
-            late = [
-                number
-                for number, lease in self._leases.items()
+            await asyncio.sleep(LEASE_CHECK_INTERVAL_S)
+            expired = [
+                lease_id
+                for lease_id, lease in self._leases.items()
                 if lease.expires_at < loop.time()
             ]
-            for number in late:
-                await self._drop_lease(number)
+            for lease_id in expired:
+                await self._remove_lease(lease_id)
 
-    async def _drop_lease(self, number: int) -> bool:
-        if self._leases.pop(number, None) is None:
+    async def _remove_lease(self, lease_id: int) -> bool:
+        if self._leases.pop(lease_id, None) is None:
             return False
         async with self._changed:
-            for key in [k for k, item in self._items.items() if item.lease == number]:
+            for key in [k for k, item in self._items.items() if item.lease == lease_id]:
                 self._remove(key)
             self._changed.notify_all()
         return True
 
     @web.middleware
-    async def _faults(self, request: web.Request, handler: Any) -> web.StreamResponse:
+    async def _inject_faults(
+        self, request: web.Request, handler: Any
+    ) -> web.StreamResponse:
         self.calls[request.path.split("/")[1]] += 1
-        refused = await self._fail(request)
-        if refused is not None:
-            return refused
+        fault_response = await self._apply_fault(request)
+        if fault_response is not None:
+            return fault_response
         response: web.StreamResponse = await handler(request)
         if self.fault is StoreFault.LOSE_REPLIES:
-            await asyncio.sleep(FOREVER_S)
-        # A watch that waited when the fault began does not get through either.
-        return await self._fail(request) or response
+            await asyncio.sleep(HANG_S)
+        # A watch that was waiting when the fault began must fail too.
+        return await self._apply_fault(request) or response
 
-    async def _fail(self, request: web.Request) -> web.Response | None:
+    async def _apply_fault(self, request: web.Request) -> web.Response | None:
         match self.fault:
             case StoreFault.BUSY:
                 return web.Response(status=503)
             case StoreFault.SILENT:
-                await asyncio.sleep(FOREVER_S)
+                await asyncio.sleep(HANG_S)
             case StoreFault.RESET:
                 if request.transport is not None:
                     request.transport.abort()
         return None
 
-    def _seen(self, request: web.Request, row: dict[str, Any]) -> dict[str, Any]:
-        """Return a row as the reader of a request sees it."""
-        if request.transport is None or "value" not in row:
-            return row
+    def _translate(self, request: web.Request, entry: dict[str, Any]) -> dict[str, Any]:
+        """Return an entry with its value translated for the view of the request."""
+        if request.transport is None or "value" not in entry:
+            return entry
         port = request.transport.get_extra_info("sockname")[1]
         translate = self._views.get(port)
         if translate is None:
-            return row
-        value = translate(row["key"], b64decode(row["value"]))
-        return {**row, "value": b64encode(value).decode()}
+            return entry
+        value = translate(entry["key"], b64decode(entry["value"]))
+        return {**entry, "value": b64encode(value).decode()}
 
     async def _get(self, request: web.Request) -> web.Response:
         key = request.query["key"]
         if key not in self._items:
-            return _json({}, 404)
-        row = self._seen(request, self._row(key))
-        return _json({**row, "store_revision": self._revision})
+            return _json_response({}, 404)
+        entry = self._translate(request, self._entry(key))
+        return _json_response({**entry, "store_revision": self._revision})
 
     async def _range(self, request: web.Request) -> web.Response:
         prefix, after = request.query["prefix"], request.query.get("after", "")
         keys = sorted(k for k in self._items if k.startswith(prefix) and k > after)
-        return _json(
+        return _json_response(
             {
                 "items": [
-                    self._seen(request, self._row(key)) for key in keys[:PAGE_ITEMS]
+                    self._translate(request, self._entry(key))
+                    for key in keys[:MAX_PAGE_ITEMS]
                 ],
-                "truncated": len(keys) > PAGE_ITEMS,
+                "truncated": len(keys) > MAX_PAGE_ITEMS,
                 "store_revision": self._revision,
             }
         )
@@ -235,65 +238,71 @@
         try:
             async with asyncio.timeout(wait_s), self._changed:
                 await self._changed.wait_for(
-                    lambda: self._compacted > after or self._since(prefix, after)
+                    lambda: (
+                        self._compacted_revision > after
+                        or self._changes_since(prefix, after)
+                    )
                 )
         except TimeoutError:
             pass
-        if self._compacted > after:
-            return _json({}, 410)
-        return _json(
+        if self._compacted_revision > after:
+            return _json_response({}, 410)
+        return _json_response(
             {
                 "events": [
-                    self._seen(request, row) for row in self._since(prefix, after)
+                    self._translate(request, entry)
+                    for entry in self._changes_since(prefix, after)
                 ],
                 "store_revision": self._revision,
             }
         )
 
-    def _since(self, prefix: str, after: int) -> list[dict[str, Any]]:
+    def _changes_since(self, prefix: str, after: int) -> list[dict[str, Any]]:
         return [
-            row
-            for row in self._history
-            if row["revision"] > after and row["key"].startswith(prefix)
+            entry
+            for entry in self._history
+            if entry["revision"] > after and entry["key"].startswith(prefix)
         ]
 
-    async def _txn(self, request: web.Request) -> web.Response:
+    async def _commit(self, request: web.Request) -> web.Response:
         body = orjson.loads(await request.read())
-        leases = {row.get("lease", 0) for row in body["writes"]} - {0}
+        leases = {entry.get("lease", 0) for entry in body["writes"]} - {0}
         if not leases <= set(self._leases):
-            return _json({}, 404)
+            return _json_response({}, 404)
         async with self._changed:
-            for row in body["expect"]:
-                item = self._items.get(row["key"])
-                if (item.revision if item else 0) != row["revision"]:
-                    return _json({"items": []}, 412)
-            for row in body["writes"]:
-                self._write(row["key"], b64decode(row["value"]), row.get("lease", 0))
+            for entry in body["expect"]:
+                item = self._items.get(entry["key"])
+                if (item.revision if item else 0) != entry["revision"]:
+                    return _json_response({"items": []}, 412)
+            for entry in body["writes"]:
+                self._write(
+                    entry["key"], b64decode(entry["value"]), entry.get("lease", 0)
+                )
             for key in body["remove"]:
                 self._remove(key)
             self._changed.notify_all()
-            return _json({"revision": self._revision})
+            return _json_response({"revision": self._revision})
 
-    async def _grant(self, request: web.Request) -> web.Response:
+    async def _grant_lease(self, request: web.Request) -> web.Response:
         ttl_ms = orjson.loads(await request.read())["ttl_ms"]
-        number = next(self._lease_numbers)
+        lease_id = next(self._lease_ids)
         now = asyncio.get_running_loop().time()
-        self._leases[number] = _Lease(ttl_ms / 1000, now + ttl_ms / 1000)
-        return _json({"lease": number, "ttl_ms": ttl_ms})
+        self._leases[lease_id] = _Lease(ttl_ms / 1000, now + ttl_ms / 1000)
+        return _json_response({"lease": lease_id, "ttl_ms": ttl_ms})
 
-    async def _keep(self, request: web.Request) -> web.Response:
+    async def _keep_lease_alive(self, request: web.Request) -> web.Response:
         lease = self._leases.get(int(request.match_info["id"]))
         if lease is None:
-            return _json({}, 404)
+            return _json_response({}, 404)
         lease.expires_at = asyncio.get_running_loop().time() + lease.ttl_s
-        return _json({"ttl_ms": int(lease.ttl_s * 1000)})
+        return _json_response({"ttl_ms": int(lease.ttl_s * 1000)})
 
-    async def _end(self, request: web.Request) -> web.Response:
-        found = await self._drop_lease(int(request.match_info["id"]))
-        return _json({}, 200 if found else 404)
+    async def _revoke_lease(self, request: web.Request) -> web.Response:
+        found = await self._remove_lease(int(request.match_info["id"]))
+        return _json_response({}, 200 if found else 404)
 
 
-def _json(body: Any, status: int = 200) -> web.Response:
+def _json_response(body: Any, status: int = 200) -> web.Response:
     return web.Response(
         status=status, body=orjson.dumps(body), content_type="application/json"
     )
--- a/borageworks_emulator/platform/tests/test_entry_overload.py
+++ b/borageworks_emulator/platform/tests/test_entry_overload.py
@@ -1,4 +1,4 @@
-"""Tests of one gateway process that gets more requests than it can handle."""
+"""Tests of one gateway process that receives more requests than it can handle."""
 
 import asyncio
 import tempfile
@@ -14,27 +14,27 @@
 from borageworks_emulator.process import Program
 from borageworks_emulator.soak.gateway_process import GatewayProcess
 
-READY_LIMIT_S = 20.0
-POLL_S = 0.1
-# Callers of the flood ask again at once; so many keep any instance busy.
+READY_TIMEOUT_S = 20.0
+POLL_INTERVAL_S = 0.1
+# Each caller sends its next request at once; this many overload any instance.
 FLOOD_CALLERS = 600
-# The flood overloads the instance before anything is counted.
+# The instance is overloaded by the flood before the measurement starts.
 WARM_UP_S = 1.0
-# Window of the users' rule about organisations that get too little, and the requests by
-# which an organisation that asks for less than its share may miss in it.
+# Required: an organisation that sends less than its share loses at most
+# `MAX_LOST_REQUESTS` in any window.
 WINDOW_S = 6
-SPARE_REQUESTS = 3
-SMALL_PER_S = 10
-# Requests of which some are refused, at an instance that refuses most.
-ASKED = 20
-# The platform asks once a second whether an instance is ready, and sends new callers
-# elsewhere after two misses.
+MAX_LOST_REQUESTS = 3
+SMALL_RATE_PER_S = 10
+# Requests sent to an instance that refuses most; at least one must be refused.
+PROBE_REQUESTS = 20
+# The platform checks once a second whether an instance is ready, and sends new callers
+# to others after two failed checks.
 CHECK_INTERVAL_S = 1.0
-MISSES_UNTIL_OUT = 2
+FAILED_CHECKS_UNTIL_REMOVAL = 2
 
 
-class Site:
-    """One gateway process in front of endpoints that always have room."""
+class GatewayFixture:
+    """One gateway process with endpoints that always have free slots."""
 
     def __init__(self, directory):
         self.store = EmulatedPlatformStore()
@@ -43,7 +43,7 @@
             for number in range(2)
         ]
         self.gateway = GatewayProcess("edge-1", "zone-a", directory)
-        self._number = 0
+        self._request_number = 0
 
     async def __aenter__(self):
         await self.store.start()
@@ -59,9 +59,9 @@
             connector=aiohttp.TCPConnector(limit=0),
             timeout=aiohttp.ClientTimeout(total=3.0),
         )
-        async with asyncio.timeout(READY_LIMIT_S):
-            while not await self.ready():  # noqa: ASYNC110
-                await asyncio.sleep(POLL_S)
+        async with asyncio.timeout(READY_TIMEOUT_S):
+            while not await self.is_ready():  # noqa: ASYNC110
+                await asyncio.sleep(POLL_INTERVAL_S)
         return self
 
     async def __aexit__(self, *_):
@@ -71,8 +71,8 @@
             await endpoint.stop()
         await self.store.stop()
 
-    async def ready(self):
-        """Return whether the gateway says that it is ready."""
+    async def is_ready(self):
+        """Return whether the gateway reports that it is ready."""
         try:
             url = f"{self.gateway.status_url}/ready"
             async with self.session.get(url) as response:
@@ -80,16 +80,16 @@
         except (aiohttp.ClientError, TimeoutError):
             return False
 
-    async def ask(self, organisation):
-        """Send a request; return its status and headers, (0, {}) if there is none."""
-        self._number += 1
+    async def send_request(self, organisation):
+        """Send a request; return status and headers of its response, else (0, {})."""
+        self._request_number += 1
         headers = {
             "Host": HOST,
             "Authorization": f"Token {organisation}",
-            "X-Borageworks-Attempt-Id": f"r{self._number}",
+            "X-Borageworks-Attempt-Id": f"r{self._request_number}",
             "X-Borageworks-Deadline-Remaining": "3000",
         }
-        url = f"{self.gateway.url}/look/{self._number}"
+        url = f"{self.gateway.url}/look/{self._request_number}"
         try:
             async with self.session.get(url, headers=headers) as response:
                 await response.read()
@@ -98,9 +98,9 @@
             return 0, {}
 
 
-async def flooded(site, directory, during):
-    """Run `during` while one organisation floods the gateway."""
-    arguments = [site.gateway.ports[0], FLOOD_CALLERS, HOST, "/look/", "flood"]
+async def await_during_flood(fixture, directory, measurement):
+    """Await `measurement` while one organisation floods the gateway."""
+    arguments = [fixture.gateway.ports[0], FLOOD_CALLERS, HOST, "/look/", "flood"]
     flood = Program(
         ["-m", "borageworks_emulator.platform.flood", *map(str, arguments)],
         directory / "flood.out",
@@ -108,47 +108,52 @@
     await flood.start()
     try:
         await asyncio.sleep(WARM_UP_S)
-        return await during
+        return await measurement
     finally:
         await flood.end()
 
 
 class EntryOverloadTest(TestCase):
-    def run_site(self, scenario):
-        async def play():
+    def run_during_flood(self, scenario):
+        async def main():
             with tempfile.TemporaryDirectory() as directory:
-                async with Site(Path(directory)) as site:
-                    return await flooded(site, Path(directory), scenario(site))
+                async with GatewayFixture(Path(directory)) as fixture:
+                    return await await_during_flood(
+                        fixture, Path(directory), scenario(fixture)
+                    )
 
-        return asyncio.run(play())
+        return asyncio.run(main())
 
     def test_small_organisation_beside_a_flood_at_one_instance(self):
-        """Guards against refusals of an overloaded instance that hit everybody."""
+        """Guards against an overloaded instance that refuses all organisations."""
 
-        async def ask(site):
+        async def send_requests(fixture):
             calls = []
-            for _ in range(WINDOW_S * SMALL_PER_S):
-                calls.append(asyncio.ensure_future(site.ask("small")))
-                await asyncio.sleep(1 / SMALL_PER_S)
+            for _ in range(WINDOW_S * SMALL_RATE_PER_S):
+                calls.append(asyncio.ensure_future(fixture.send_request("small")))
+                await asyncio.sleep(1 / SMALL_RATE_PER_S)
             return [status for status, _ in await asyncio.gather(*calls)]
 
-        statuses = self.run_site(ask)
+        statuses = self.run_during_flood(send_requests)
         served = statuses.count(200)
-        self.assertTrue(served >= len(statuses) - SPARE_REQUESTS, (served, statuses))
+        self.assertTrue(served >= len(statuses) - MAX_LOST_REQUESTS, (served, statuses))
 
-    def test_instance_that_keeps_refusing_sends_new_callers_elsewhere(self):
-        """Guards against an overload that ends with each refusal and so never lasts."""
+    def test_instance_that_keeps_refusing_is_taken_out_of_rotation(self):
+        """Guards against refusals that end the overload state each time."""
 
-        async def watch(site):
-            out = 0
+        async def wait_until_removed(fixture):
+            failed_checks = 0
             for _ in range(WINDOW_S):
-                out = 0 if await site.ready() else out + 1
-                if out >= MISSES_UNTIL_OUT:
-                    return [await site.ask("flood") for _ in range(ASKED)]
+                failed_checks = 0 if await fixture.is_ready() else failed_checks + 1
+                if failed_checks >= FAILED_CHECKS_UNTIL_REMOVAL:
+                    return [
+                        await fixture.send_request("flood")
+                        for _ in range(PROBE_REQUESTS)
+                    ]
                 await asyncio.sleep(CHECK_INTERVAL_S)
             return []
 
-        answers = self.run_site(watch)
-        refused = [headers for status, headers in answers if status == 503]
+        responses = self.run_during_flood(wait_until_removed)
+        refused = [headers for status, headers in responses if status == 503]
         self.assertTrue(refused, "the instance stays in rotation")
-        self.assertEqual({"close"}, {item.get("Connection") for item in refused})
+        self.assertEqual({"close"}, {headers.get("Connection") for headers in refused})
--- a/borageworks_emulator/platform/tests/test_feed.py
+++ b/borageworks_emulator/platform/tests/test_feed.py
@@ -1,4 +1,4 @@
-"""Tests of instances that are told what the store holds by others."""
+"""Tests of instances that receive store updates from readers, not from the store."""
 
 import asyncio
 from contextlib import AsyncExitStack
@@ -13,81 +13,99 @@
     Harness,
     configuration,
 )
-from borageworks_emulator.platform.tests.test_faults import until, without_route
+from borageworks_emulator.platform.tests.test_faults import (
+    configuration_without_route,
+    wait_until,
+)
 
-INSTANCES = 5
-READERS = 2
-WATCHED_S = 4.0
-# The configuration's delay in the stand-in's settings.
-APPLY_S = 2.0
+INSTANCE_COUNT = 5
+READER_COUNT = 2
+OBSERVATION_S = 4.0
+# `bounds.config_apply_ms` in the settings of the harness.
+CONFIG_APPLY_LIMIT_S = 2.0
 
 
 class FeedTest(TestCase):
-    def play(self, scenario):
+    def run_scenario(self, scenario):
         async def main():
-            desk = EmulatedEndpoint("i-1", lambda _request: Behaviour(plain=True))
-            endpoints = {DESK: [desk], ENGINES: [EmulatedEndpoint("i-e")]}
+            endpoint = EmulatedEndpoint("i-1", lambda _request: Behaviour(plain=True))
+            endpoints = {DESK: [endpoint], ENGINES: [EmulatedEndpoint("i-e")]}
             async with AsyncExitStack() as stack:
                 first = await stack.enter_async_context(Harness(endpoints))
                 fleet = [first]
-                for number in range(2, INSTANCES + 1):
-                    other = Harness({}, name=f"edge-{number}", store=first.store)
-                    fleet.append(await stack.enter_async_context(other))
+                for number in range(2, INSTANCE_COUNT + 1):
+                    harness = Harness({}, name=f"edge-{number}", store=first.store)
+                    fleet.append(await stack.enter_async_context(harness))
                 for harness in fleet:
-                    await harness.linked(INSTANCES)
+                    await harness.wait_until_linked(INSTANCE_COUNT)
 
-                async def fed():
-                    return len(self.fed(fleet)) == INSTANCES - READERS
+                async def all_fed():
+                    return (
+                        len(self.fed_harnesses(fleet)) == INSTANCE_COUNT - READER_COUNT
+                    )
 
-                await until(fed, 10.0)
+                await wait_until(all_fed, 10.0)
                 return await scenario(fleet)
 
-        # A failure domain of the test's size is fed.
-        with mock.patch("borageworks.gateway.fleet.FED_DOMAIN_INSTANCES", INSTANCES):
+        # Lowers the threshold so that a failure domain of this size uses the feed.
+        with mock.patch(
+            "borageworks.gateway.fleet.FED_DOMAIN_INSTANCES", INSTANCE_COUNT
+        ):
             return asyncio.run(main())
 
     @staticmethod
-    def fed(fleet):
-        return [one for one in fleet if one.gateway.fed]
+    def fed_harnesses(fleet):
+        return [harness for harness in fleet if harness.gateway.fed]
 
     def test_only_readers_call_the_store(self):
         """Guards against store calls that grow with the number of instances."""
 
         async def scenario(fleet):
-            await asyncio.sleep(WATCHED_S)
-            calls = [one.metrics.value("store_calls", "watch") for one in fleet]
+            await asyncio.sleep(OBSERVATION_S)
+            calls_before = [
+                harness.metrics.value("store_calls", "watch") for harness in fleet
+            ]
             for version in range(2, 6):
-                await fleet[0].configure(without_route(version, "book"))
+                await fleet[0].configure(configuration_without_route(version, "book"))
                 await asyncio.sleep(0.5)
-            for one in fleet:
-                await one.current()
-            after = [one.metrics.value("store_calls", "watch") for one in fleet]
+            for harness in fleet:
+                await harness.wait_until_current()
+            calls_after = [
+                harness.metrics.value("store_calls", "watch") for harness in fleet
+            ]
             return [
-                after[number] - calls[number]
-                for number, one in enumerate(fleet)
-                if one.gateway.fed
+                calls_after[number] - calls_before[number]
+                for number, harness in enumerate(fleet)
+                if harness.gateway.fed
             ]
 
-        self.assertEqual([0] * (INSTANCES - READERS), self.play(scenario))
+        self.assertEqual(
+            [0] * (INSTANCE_COUNT - READER_COUNT), self.run_scenario(scenario)
+        )
 
-    def test_change_is_in_force_in_time_when_the_readers_are_lost(self):
-        """Guards against instances that wait for readers that cannot read."""
+    def test_change_is_applied_in_time_when_the_readers_fail(self):
+        """Guards against waiting for readers that cannot reach the store."""
 
         async def scenario(fleet):
-            told = self.fed(fleet)
-            readers = [one for one in fleet if one not in told]
-            for one in readers:
-                # The store turns these away, and nobody tells the others.
-                one.platform_store._base = "http://127.0.0.1:1"
-                one.gateway._follower._peers = list
+            fed = self.fed_harnesses(fleet)
+            readers = [harness for harness in fleet if harness not in fed]
+            for harness in readers:
+                # The readers reach neither the store nor their peers.
+                harness.platform_store._base = "http://127.0.0.1:1"
+                harness.gateway._follower._peers = list
             await asyncio.sleep(0.1)
-            await fleet[0].configure(without_route(2, "book"))
+            await fleet[0].configure(configuration_without_route(2, "book"))
 
-            async def in_force():
-                return all([(await one.ask("/book/"))[0] == 404 for one in told])
+            async def change_applied():
+                return all(
+                    [
+                        (await harness.send_request("/book/"))[0] == 404
+                        for harness in fed
+                    ]
+                )
 
-            taken = await until(in_force)
+            elapsed_s = await wait_until(change_applied)
             await fleet[0].configure(configuration(3))
-            return taken
+            return elapsed_s
 
-        self.assertTrue(self.play(scenario) < APPLY_S)
+        self.assertTrue(self.run_scenario(scenario) < CONFIG_APPLY_LIMIT_S)
--- a/borageworks_emulator/platform/unbounded_response.py
+++ b/borageworks_emulator/platform/unbounded_response.py
@@ -1,4 +1,4 @@
-"""Stand-in of an endpoint that sends bytes that are no answer and never end."""
+"""Emulated endpoint whose responses never end."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 from borageworks_emulator.platform.engine import REQUEST_ID, SEAL, endpoint_entry
 
 BLOCK_BYTES = 64 * 1024
-HEAD_END = b"\r\n\r\n"
+HEADERS_END = b"\r\n\r\n"
 
 
-def noise(length: int = BLOCK_BYTES) -> bytes:
-    """Return bytes without a line end."""
+def filler(length: int = BLOCK_BYTES) -> bytes:
+    """Return bytes that contain no line end."""
     return b"\x01x" * (length // 2)
 
 
-# What follows a request, by name: bytes that are sent once, and those that are sent
-# again and again. `{id}` stands for the request's id.
-ENDLESS: Mapping[str, tuple[bytes, bytes]] = {
-    "noise": (b"", noise()),
+# Responses by name: bytes that are sent once, followed by bytes that are repeated.
+# `{head}` is replaced by the header lines that identify request and endpoint.
+UNBOUNDED_RESPONSES: Mapping[str, tuple[bytes, bytes]] = {
+    "no_line_end": (b"", filler()),
     "blank_lines": (b"", b"\r\n" * 1024),
     "status_line": (b"HTTP/1.1 200 ", b"O" * BLOCK_BYTES),
     "header": (b"HTTP/1.1 200 OK\r\nX-Long: ", b"a" * BLOCK_BYTES),
@@ -29,12 +29,12 @@
     "interim": (b"", b"HTTP/1.1 100 Continue\r\n\r\n" * 1024),
     "stream_body": (
         b"HTTP/1.1 200 OK\r\n{head}Content-Type: text/event-stream\r\n\r\n",
-        noise(),
+        filler(),
     ),
     "stream_chunks": (
         b"HTTP/1.1 200 OK\r\n{head}Content-Type: text/event-stream\r\n"
         b"Transfer-Encoding: chunked\r\n\r\n",
-        b"10000\r\n" + noise() + b"\r\n",
+        b"10000\r\n" + filler() + b"\r\n",
     ),
     "chunk_size": (
         b"HTTP/1.1 200 OK\r\n{head}Transfer-Encoding: chunked\r\n\r\n",
@@ -46,32 +46,32 @@
     ),
     "refusal_body": (
         b"HTTP/1.1 503 Busy\r\n{head}X-Borageworks-Not-Executed: 1\r\n\r\n",
-        noise(),
+        filler(),
     ),
-    "failure_body": (b"HTTP/1.1 500 Failed\r\n{head}\r\n", noise()),
+    "failure_body": (b"HTTP/1.1 500 Failed\r\n{head}\r\n", filler()),
 }
 
 
-class EndlessEndpoint:
-    """Endpoint that answers every request with bytes that never end.
+class UnboundedResponseEndpoint:
+    """Endpoint that sends an unbounded response to every request.
 
     Parameters
     ----------
     name
-        Identity.
+        Name under which it is registered.
     kind
-        What it sends, a key of `ENDLESS`.
-    memory_news
-        Whether it tells what it keeps as it should.
+        Kind of response, a key of `UNBOUNDED_RESPONSES`.
+    serves_kv_events
+        Whether it serves the events of its KV cache correctly.
     """
 
-    def __init__(self, name: str, kind: str, *, memory_news: bool = True) -> None:
+    def __init__(self, name: str, kind: str, *, serves_kv_events: bool = True) -> None:
         self.name = name
         self.kind = kind
-        self.asked = 0
+        self.request_count = 0
         self.sent_bytes = 0
         self.address = ("127.0.0.1", 0)
-        self._memory_news = memory_news
+        self._serves_kv_events = serves_kv_events
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
 
@@ -88,7 +88,7 @@
             writer.transport.abort()
 
     def entry(self, service: str) -> bytes:
-        """Return the entry with which it registers itself."""
+        """Return the store entry that registers the endpoint."""
         return endpoint_entry(self.address, service)
 
     async def _serve(
@@ -97,39 +97,41 @@
         self._writers.add(writer)
         try:
             while True:
-                head = await reader.readuntil(HEAD_END)
-                if self._memory_news and head.startswith(b"GET /kv-"):
-                    writer.write(_memory_answer())
+                head = await reader.readuntil(HEADERS_END)
+                if self._serves_kv_events and head.startswith(b"GET /kv-"):
+                    writer.write(_kv_events_response())
                     continue
-                self.asked += 1
-                await self._pour(head, writer)
+                self.request_count += 1
+                await self._send_response(head, writer)
         except (OSError, asyncio.IncompleteReadError):
-            # The gateway closed the connection, as it should.
+            # Expected: the gateway closed the connection.
             return
         finally:
             self._writers.discard(writer)
             writer.close()
 
-    async def _pour(self, head: bytes, writer: asyncio.StreamWriter) -> None:
-        first, again = ENDLESS[self.kind]
-        identity = _header(head, REQUEST_ID)
-        own = f"{REQUEST_ID}: {identity}\r\n{SEAL}: seal-of-{self.name}\r\n".encode()
-        writer.write(first.replace(b"{head}", own))
+    async def _send_response(self, head: bytes, writer: asyncio.StreamWriter) -> None:
+        prologue, repeated = UNBOUNDED_RESPONSES[self.kind]
+        request_id = _header(head, REQUEST_ID)
+        identity_lines = (
+            f"{REQUEST_ID}: {request_id}\r\n{SEAL}: seal-of-{self.name}\r\n".encode()
+        )
+        writer.write(prologue.replace(b"{head}", identity_lines))
         while True:
-            writer.write(again)
-            self.sent_bytes += len(again)
+            writer.write(repeated)
+            self.sent_bytes += len(repeated)
             await writer.drain()
 
 
 def _header(head: bytes, name: str) -> str:
     for line in head.decode("latin-1").split("\r\n"):
-        found, _, value = line.partition(":")
-        if found.lower() == name.lower():
+        header_name, _, value = line.partition(":")
+        if header_name.lower() == name.lower():
             return value.strip()
     return ""
 
 
-def _memory_answer() -> bytes:
+def _kv_events_response() -> bytes:
     body = orjson.dumps(
         {"epoch": "1", "next": 1, "held": [], "lost": False, "events": []}
     )
