--- a/borageworks_emulator/scenarios/crash_request.py
+++ b/borageworks_emulator/scenarios/crash_request.py
@@ -1,4 +1,4 @@
-"""A request crashes every engine that runs it, and its caller sends it again."""
+"""A request crashes every engine that runs it, and its caller resends it."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 from borageworks_emulator.load import Flow, LoadResult
 from borageworks_emulator.report import Check, Result
 from borageworks_emulator.scenario import Scenario, Stage, at_least, at_most
-from borageworks_emulator.scenarios.flows import LIGHT_PART, everyday
+from borageworks_emulator.scenarios.flows import LIGHT_LOAD_RATIO, everyday_flows
 from borageworks_emulator.topology import Topology
 
 MARKER = "crash-marker"
 RESENDS = 9
 RESEND_AFTER_S = 1.0
-START_S = 2.0
+CRASH_START_S = 2.0
 
 
 def _flows(topology: Topology, routers: int) -> list[Flow]:
@@ -22,12 +22,12 @@
         topology.engine_pool,
         workers=1,
         limit=1,
-        start_s=START_S,
+        start_s=CRASH_START_S,
         resends=RESENDS,
         resend_after_s=RESEND_AFTER_S,
         marker=MARKER,
     )
-    return [*everyday(topology, routers, LIGHT_PART), crashing]
+    return [*everyday_flows(topology, routers, LIGHT_LOAD_RATIO), crashing]
 
 
 async def _faults(stage: Stage) -> None:
--- a/borageworks_emulator/scenarios/crossed_answers.py
+++ b/borageworks_emulator/scenarios/crossed_answers.py
@@ -1,4 +1,4 @@
-"""Endpoints exchange pairs of answers."""
+"""Endpoints swap the responses of pairs of requests."""
 
 from __future__ import annotations
 
@@ -8,32 +8,32 @@
 from borageworks_emulator.load import LoadResult
 from borageworks_emulator.report import Check, Result
 from borageworks_emulator.scenario import Scenario, Stage, at_least
-from borageworks_emulator.scenarios.flows import everyday
+from borageworks_emulator.scenarios.flows import everyday_flows
 
-FROM_PART = 0.2
-UNTIL_PART = 0.8
-EVERY_S = 1.0
+FAULT_START_RATIO = 0.2
+FAULT_END_RATIO = 0.8
+SWAP_INTERVAL_S = 1.0
 
 
 async def _faults(stage: Stage) -> None:
-    await stage.until(FROM_PART)
-    end = stage.began + UNTIL_PART * stage.options.duration_s
-    while time.monotonic() < end:
+    await stage.until(FAULT_START_RATIO)
+    fault_end = stage.began + FAULT_END_RATIO * stage.options.duration_s
+    while time.monotonic() < fault_end:
         for endpoint in stage.endpoints:
             endpoint.faults.crossed = 1
-        await asyncio.sleep(EVERY_S)
+        await asyncio.sleep(SWAP_INTERVAL_S)
     for endpoint in stage.endpoints:
         endpoint.faults.crossed = 0
 
 
 def _checks(result: Result, load: LoadResult) -> list[Check]:
-    return [at_least("pairs of answers exchanged", result.faults.get("crossed", 0), 1)]
+    return [at_least("pairs of responses swapped", result.faults.get("crossed", 0), 1)]
 
 
 CROSSED_ANSWERS = Scenario(
     name="crossed-answers",
-    description="each endpoint exchanges a pair of answers every second",
-    flows=everyday,
+    description="each endpoint swaps a pair of responses every second",
+    flows=everyday_flows,
     faults=_faults,
     checks=_checks,
     may_refuse=frozenset(("outcome_unknown", "retries_exhausted")),
--- a/borageworks_emulator/scenarios/cut_streams.py
+++ b/borageworks_emulator/scenarios/cut_streams.py
@@ -5,7 +5,7 @@
 from borageworks_emulator.load import LoadResult
 from borageworks_emulator.report import Check, Result
 from borageworks_emulator.scenario import Scenario, Stage, at_least
-from borageworks_emulator.scenarios.flows import everyday
+from borageworks_emulator.scenarios.flows import everyday_flows
 
 CUT_EVERY = 20
 CUT_CHUNKS = 3
@@ -24,7 +24,7 @@
 CUT_STREAMS = Scenario(
     name="cut-streams",
     description="engines cut streams after three tokens and can resume them",
-    flows=everyday,
+    flows=everyday_flows,
     faults=_faults,
     checks=_checks,
 )
--- a/borageworks_emulator/scenarios/flows.py
+++ b/borageworks_emulator/scenarios/flows.py
@@ -7,29 +7,33 @@
 from borageworks_emulator.topology import Topology
 
 MEAN_TOKENS = 8.0
-# Tokens and a tenth of the prompt: what a request of these flows takes on average.
+# Mean cost of a request: its generated tokens and a tenth of its prompt tokens.
 MEAN_UNITS = 12.0
-PLAIN_MS = 100.0
-ENGINE_PART = 0.65
-LIGHT_PART = 0.2
-PLAIN_PART = 0.6
-PROTECTED_PART = 0.5
+MEAN_PLAIN_MS = 100.0
+ENGINE_LOAD_RATIO = 0.65
+LIGHT_LOAD_RATIO = 0.2
+PLAIN_LOAD_RATIO = 0.6
+PROTECTED_RATIO = 0.5
 
 
-def everyday(
-    topology: Topology, routers: int, engine_part: float = ENGINE_PART
+def everyday_flows(
+    topology: Topology, routers: int, engine_load_ratio: float = ENGINE_LOAD_RATIO
 ) -> list[Flow]:
     """Return open-loop requests of every organisation for every service.
 
-    They come at `targets.RATE_PER_ROUTER` per router, limited to a part of the
+    Their rate is `targets.RATE_PER_ROUTER` per router, limited to a fraction of the
     capacity of each pool.
     """
-    total = targets.RATE_PER_ROUTER * routers
-    engine_limit = engine_part * topology.capacity(topology.engine_pool) / MEAN_UNITS
-    plain_limit = PLAIN_PART * topology.capacity(topology.plain_pool) / PLAIN_MS * 1000
-    engine_rate = min(engine_limit, 0.6 * total)
-    plain_rate = min(plain_limit, total - engine_rate)
-    count = len(topology.shares)
+    total_rate = targets.RATE_PER_ROUTER * routers
+    engine_limit = (
+        engine_load_ratio * topology.capacity(topology.engine_pool) / MEAN_UNITS
+    )
+    plain_limit = (
+        PLAIN_LOAD_RATIO * topology.capacity(topology.plain_pool) / MEAN_PLAIN_MS * 1000
+    )
+    engine_rate = min(engine_limit, 0.6 * total_rate)
+    plain_rate = min(plain_limit, total_rate - engine_rate)
+    organisation_count = len(topology.shares)
     flows = []
     for name in topology.shares:
         flows.append(
@@ -37,13 +41,13 @@
                 name,
                 topology.model,
                 topology.engine_pool,
-                rate=engine_rate / count,
+                rate=engine_rate / organisation_count,
                 mean=MEAN_TOKENS,
             )
         )
-        for service, part, keyed in (
-            (topology.protected, PROTECTED_PART, True),
-            (topology.status, 1 - PROTECTED_PART, False),
+        for service, ratio, keyed in (
+            (topology.protected, PROTECTED_RATIO, True),
+            (topology.status, 1 - PROTECTED_RATIO, False),
         ):
             flows.append(
                 Flow(
@@ -51,8 +55,8 @@
                     service,
                     topology.plain_pool,
                     engine=False,
-                    rate=part * plain_rate / count,
-                    mean=PLAIN_MS,
+                    rate=ratio * plain_rate / organisation_count,
+                    mean=MEAN_PLAIN_MS,
                     sigma=0.7,
                     largest=2_000.0,
                     keyed=keyed,
@@ -61,7 +65,7 @@
     return flows
 
 
-def backlog(
+def backlog_flow(
     topology: Topology, organisation: str, workers: int, router: int | None = None
 ) -> Flow:
     """Return closed-loop model requests that keep an organisation backlogged."""
@@ -75,17 +79,17 @@
     )
 
 
-def contended(topology: Topology, routers: int) -> list[Flow]:
-    """Return a light load of all with three backlogged organisations.
+def contended_flows(topology: Topology, routers: int) -> list[Flow]:
+    """Return a light load of all organisations, three of which are also backlogged.
 
-    Two have large shares and one a small one; each has more callers than the pool has
-    slots.
+    Of the three, two have a large share and one a small share. Each has more callers
+    than the pool has slots.
     """
-    workers = topology.slots(topology.engine_pool)
+    slots = topology.slots(topology.engine_pool)
     first, second, *_, small, _ = topology.organisations
     return [
-        *everyday(topology, routers, LIGHT_PART),
-        backlog(topology, first, 2 * workers),
-        backlog(topology, second, 2 * workers),
-        backlog(topology, small, 2 * workers),
+        *everyday_flows(topology, routers, LIGHT_LOAD_RATIO),
+        backlog_flow(topology, first, 2 * slots),
+        backlog_flow(topology, second, 2 * slots),
+        backlog_flow(topology, small, 2 * slots),
     ]
--- a/borageworks_emulator/scenarios/pause_and_wake.py
+++ b/borageworks_emulator/scenarios/pause_and_wake.py
@@ -1,4 +1,4 @@
-"""A router is paused for longer than others wait for it, then goes on."""
+"""A router is paused for longer than failure detection takes, then resumes."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 from borageworks_emulator.load import LoadResult
 from borageworks_emulator.report import Check, Result
 from borageworks_emulator.scenario import Scenario, Stage, at_least
-from borageworks_emulator.scenarios.flows import everyday
+from borageworks_emulator.scenarios.flows import everyday_flows
 from borageworks_emulator.scenarios.restart import BALANCER_LAG_S
 
-PAUSE_PART = 0.3
-# Longer than the failure detection of the default settings.
+PAUSE_AT_RATIO = 0.3
+# Longer than failure detection takes with the default settings.
 PAUSE_S = 8.0
-# Callers of the paused router have their answers, or have lost them, by then.
+# Calls to the paused router have succeeded or failed by then.
 SETTLE_S = 2.0
 
 
 async def _faults(stage: Stage) -> None:
-    await stage.until(PAUSE_PART)
+    await stage.until(PAUSE_AT_RATIO)
     index = stage.options.seed % len(stage.fleet.routers)
     router = stage.fleet.routers[index]
-    paused = time.monotonic()
+    paused_at = time.monotonic()
     router.send(signal.SIGSTOP)
     stage.applied["router_paused"] += 1
     await asyncio.sleep(BALANCER_LAG_S)
@@ -32,7 +32,7 @@
     await asyncio.sleep(PAUSE_S - BALANCER_LAG_S)
     router.send(signal.SIGCONT)
     await asyncio.sleep(SETTLE_S)
-    stage.excused.append(Excuse(index, paused, time.monotonic()))
+    stage.excused.append(Excuse(index, paused_at, time.monotonic()))
     status = await router.status(stage.fleet.session)
     stage.notes["answers_after_waking"] = 1.0 if status["lacking"] == [] else 0.0
     stage.balancer.set_up(index, True)
@@ -44,8 +44,8 @@
 
 PAUSE_AND_WAKE = Scenario(
     name="pause-and-wake",
-    description="a router is paused for 8 s while others take over, then goes on",
-    flows=everyday,
+    description="a router is paused for 8 s while others take over, then resumes",
+    flows=everyday_flows,
     faults=_faults,
     checks=_checks,
 )
--- a/borageworks_emulator/scenarios/rolling_restart.py
+++ b/borageworks_emulator/scenarios/rolling_restart.py
@@ -9,27 +9,29 @@
 from borageworks_emulator.load import LoadResult
 from borageworks_emulator.report import Check, Result
 from borageworks_emulator.scenario import Scenario, Stage, at_least, at_most
-from borageworks_emulator.scenarios.flows import everyday
+from borageworks_emulator.scenarios.flows import everyday_flows
 
-FROM_PART = 0.1
-UNTIL_PART = 0.9
-# Shorter than the time that a router goes on accepting after SIGTERM.
+FAULT_START_RATIO = 0.1
+FAULT_END_RATIO = 0.9
+# Shorter than the time for which a router accepts requests after SIGTERM.
 BALANCER_LAG_S = 0.5
 MIN_RESTARTS = 2
 
 
 async def _faults(stage: Stage) -> None:
-    await stage.until(FROM_PART)
-    end = stage.began + UNTIL_PART * stage.options.duration_s
+    await stage.until(FAULT_START_RATIO)
+    last_restart_until = stage.began + FAULT_END_RATIO * stage.options.duration_s
     for index, router in enumerate(stage.fleet.routers):
-        if time.monotonic() >= end:
+        if time.monotonic() >= last_restart_until:
             return
         router.send(signal.SIGTERM)
         stage.applied["router_terminated"] += 1
         await asyncio.sleep(BALANCER_LAG_S)
         stage.balancer.set_up(index, False)
-        code = await router.wait_exit()
-        stage.notes["failed_exits"] = stage.notes.get("failed_exits", 0) + (code != 0)
+        exit_code = await router.wait_exit()
+        stage.notes["failed_exits"] = stage.notes.get("failed_exits", 0) + (
+            exit_code != 0
+        )
         await router.start()
         await router.wait_ready(stage.fleet.session)
         stage.balancer.set_up(index, True)
@@ -47,7 +49,7 @@
 ROLLING_RESTART = Scenario(
     name="rolling-restart",
     description="routers get SIGTERM and restart, one after the other",
-    flows=everyday,
+    flows=everyday_flows,
     faults=_faults,
     checks=_checks,
 )
--- a/borageworks_emulator/scenarios/steady.py
+++ b/borageworks_emulator/scenarios/steady.py
@@ -6,23 +6,23 @@
 from borageworks_emulator.load import LoadResult
 from borageworks_emulator.report import Check, Result
 from borageworks_emulator.scenario import Scenario, at_most
-from borageworks_emulator.scenarios.flows import everyday
+from borageworks_emulator.scenarios.flows import everyday_flows
 
-UNREPORTED = float("inf")
+NOT_REPORTED = float("inf")
 
 
 def _checks(result: Result, load: LoadResult) -> list[Check]:
-    control = result.control_bytes_per_second
-    idle = result.idle_cpu_percent
+    control_bytes = result.control_bytes_per_second
+    idle_cpu_percent = result.idle_cpu_percent
     return [
         at_most(
             "control bytes/s of a router",
-            UNREPORTED if control is None else control,
+            NOT_REPORTED if control_bytes is None else control_bytes,
             targets.CONTROL_BYTES_PER_S,
         ),
         at_most(
             "CPU of an idle router, % of a core",
-            UNREPORTED if idle is None else idle,
+            NOT_REPORTED if idle_cpu_percent is None else idle_cpu_percent,
             targets.CONTROL_CPU_PERCENT,
         ),
         at_most(
@@ -36,6 +36,6 @@
 STEADY = Scenario(
     name="steady",
     description="everyday load at 26 requests/s per router; control traffic",
-    flows=everyday,
+    flows=everyday_flows,
     checks=_checks,
 )
--- a/borageworks_emulator/scenarios/ticket_race.py
+++ b/borageworks_emulator/scenarios/ticket_race.py
@@ -1,4 +1,4 @@
-"""Operators race with tickets of one number, also while the store is slow."""
+"""Operators apply different tickets with the same number, also with a slow store."""
 
 from __future__ import annotations
 
@@ -18,26 +18,26 @@
 from borageworks_emulator.load import LoadResult
 from borageworks_emulator.report import Check, Result
 from borageworks_emulator.scenario import Scenario, Stage, at_least, at_most
-from borageworks_emulator.scenarios.flows import everyday
+from borageworks_emulator.scenarios.flows import everyday_flows
 
-START_PART = 0.1
-ROUNDS = 8
+RACE_START_RATIO = 0.1
+ROUND_COUNT = 8
 SLOW_FROM_ROUND = 4
-SLOW_STORE_S = 0.3
-OPERATORS = 3
-POLL_S = 0.03
-LIMIT_S = 10.0
-FIRST_NUMBER = 10
+STORE_DELAY_S = 0.3
+OPERATOR_COUNT = 3
+POLL_INTERVAL_S = 0.03
+EFFECT_TIMEOUT_S = 10.0
+FIRST_TICKET_NUMBER = 10
 
 
 def _ticket(number: int, operator: int) -> Ticket:
-    """Return a ticket that differs between operators but has one number."""
+    """Return a ticket whose content, but not its number, depends on the operator."""
     share = 1.0 + number + operator / 10
     return Ticket(number=number, put=(Organisation(id="racing", share=share),))
 
 
 async def _race(stage: Stage, stores: list[EtcdStore], number: int) -> int:
-    """Return how many operators had their ticket accepted."""
+    """Apply the tickets of all operators at once; return how many are accepted."""
 
     async def apply(operator: int) -> TicketResult | None:
         with suppress(TicketConflictError):
@@ -46,64 +46,73 @@
             )
         return None
 
-    results = await asyncio.gather(*(apply(operator) for operator in range(OPERATORS)))
+    results = await asyncio.gather(
+        *(apply(operator) for operator in range(OPERATOR_COUNT))
+    )
     accepted = [result for result in results if result is not None]
     stage.notes["conflicts"] = (
-        stage.notes.get("conflicts", 0.0) + OPERATORS - len(accepted)
+        stage.notes.get("conflicts", 0.0) + OPERATOR_COUNT - len(accepted)
     )
     return len(accepted)
 
 
-async def _hashes(stage: Stage) -> list[str]:
-    documents = await asyncio.gather(
+async def _catalog_hashes(stage: Stage) -> list[str]:
+    statuses = await asyncio.gather(
         *(router.status(stage.fleet.session) for router in stage.fleet.routers)
     )
-    return [str(document["catalog_hash"]) for document in documents]
+    return [str(status["catalog_hash"]) for status in statuses]
+
 
+async def _wait_until_in_effect(
+    stage: Stage, old_hash: str, seen_hashes: list[set[str]]
+) -> float:
+    """Return the seconds until all routers have the same new configuration.
 
-async def _until_everywhere(stage: Stage, old: str, seen: list[set[str]]) -> float:
-    """Return the seconds until all routers have the same new configuration."""
-    began = time.monotonic()
-    current = [old] * len(seen)
-    while time.monotonic() - began < LIMIT_S:
+    Counts routers that return to a configuration that they had before in the note
+    `reverted`.
+    """
+    started = time.monotonic()
+    current = [old_hash] * len(seen_hashes)
+    while time.monotonic() - started < EFFECT_TIMEOUT_S:
         with suppress(aiohttp.ClientError, TimeoutError):
-            for index, found in enumerate(await _hashes(stage)):
-                if found != current[index]:
-                    if found in seen[index]:
+            for index, catalog_hash in enumerate(await _catalog_hashes(stage)):
+                if catalog_hash != current[index]:
+                    if catalog_hash in seen_hashes[index]:
                         stage.notes["reverted"] += 1
-                    seen[index].add(found)
-                    current[index] = found
-        if len(set(current)) == 1 and current[0] != old:
-            return time.monotonic() - began
-        await asyncio.sleep(POLL_S)
-    return LIMIT_S
+                    seen_hashes[index].add(catalog_hash)
+                    current[index] = catalog_hash
+        if len(set(current)) == 1 and current[0] != old_hash:
+            return time.monotonic() - started
+        await asyncio.sleep(POLL_INTERVAL_S)
+    return EFFECT_TIMEOUT_S
 
 
 async def _faults(stage: Stage) -> None:
-    await stage.until(START_PART)
+    await stage.until(RACE_START_RATIO)
     settings = stage.fleet.routers[0].settings.store
-    stores = [EtcdStore(settings, Metrics()) for _ in range(OPERATORS)]
+    stores = [EtcdStore(settings, Metrics()) for _ in range(OPERATOR_COUNT)]
     stage.notes["reverted"] = 0.0
     stage.notes["accepted_twice"] = 0.0
-    first = (await _hashes(stage))[0]
-    seen = [{first} for _ in stage.fleet.routers]
-    times: dict[str, list[float]] = {"": [], "slow_": []}
-    for number in range(FIRST_NUMBER, FIRST_NUMBER + ROUNDS):
-        slow = number - FIRST_NUMBER >= SLOW_FROM_ROUND
-        stage.store.faults.delay_s = SLOW_STORE_S if slow else 0.0
-        old = (await _hashes(stage))[0]
-        # Counted from the start of the race, so the operators' own calls are included.
-        accepted, took = await asyncio.gather(
-            _race(stage, stores, number), _until_everywhere(stage, old, seen)
+    initial_hash = (await _catalog_hashes(stage))[0]
+    seen_hashes = [{initial_hash} for _ in stage.fleet.routers]
+    times_s: dict[str, list[float]] = {"": [], "slow_": []}
+    for number in range(FIRST_TICKET_NUMBER, FIRST_TICKET_NUMBER + ROUND_COUNT):
+        slow = number - FIRST_TICKET_NUMBER >= SLOW_FROM_ROUND
+        stage.store.faults.delay_s = STORE_DELAY_S if slow else 0.0
+        old_hash = (await _catalog_hashes(stage))[0]
+        # Measured from the start of the race, so it includes the operators' calls.
+        accepted, elapsed_s = await asyncio.gather(
+            _race(stage, stores, number),
+            _wait_until_in_effect(stage, old_hash, seen_hashes),
         )
         stage.applied["ticket_race"] += 1
         stage.notes["accepted_twice"] += max(0, accepted - 1)
-        times["slow_" if slow else ""].append(took)
+        times_s["slow_" if slow else ""].append(elapsed_s)
     stage.store.faults.delay_s = 0.0
-    for name, values in times.items():
+    for prefix, values in times_s.items():
         ordered = sorted(values)
-        stage.notes[f"{name}in_effect_median_s"] = ordered[len(ordered) // 2]
-        stage.notes[f"{name}in_effect_max_s"] = ordered[-1]
+        stage.notes[f"{prefix}in_effect_median_s"] = ordered[len(ordered) // 2]
+        stage.notes[f"{prefix}in_effect_max_s"] = ordered[-1]
     for store in stores:
         await store.close()
 
@@ -112,7 +121,7 @@
     notes = result.notes
     return [
         at_least("tickets that met a conflict", notes["conflicts"], 1),
-        at_most("numbers accepted twice", notes["accepted_twice"], 0),
+        at_most("ticket numbers accepted twice", notes["accepted_twice"], 0),
         at_most("reverted", notes["reverted"], 0),
         at_most("in effect everywhere, s", notes["in_effect_max_s"], targets.EFFECT_S),
         at_most(
@@ -126,7 +135,7 @@
 TICKET_RACE = Scenario(
     name="ticket-race",
     description="operators race with tickets of one number, half with a slow store",
-    flows=everyday,
+    flows=everyday_flows,
     faults=_faults,
     checks=_checks,
 )
--- a/borageworks_emulator/scenarios/uneven.py
+++ b/borageworks_emulator/scenarios/uneven.py
@@ -4,7 +4,11 @@
 
 from borageworks_emulator.load import Flow
 from borageworks_emulator.scenario import Scenario
-from borageworks_emulator.scenarios.flows import LIGHT_PART, backlog, everyday
+from borageworks_emulator.scenarios.flows import (
+    LIGHT_LOAD_RATIO,
+    backlog_flow,
+    everyday_flows,
+)
 from borageworks_emulator.topology import Topology
 
 
@@ -12,11 +16,11 @@
     workers = 2 * topology.slots(topology.engine_pool)
     first, second, third, *_, small, _ = topology.organisations
     return [
-        *everyday(topology, routers, LIGHT_PART),
-        backlog(topology, first, workers, router=0),
-        backlog(topology, second, workers),
-        backlog(topology, third, workers, router=1 % routers),
-        backlog(topology, small, workers, router=2 % routers),
+        *everyday_flows(topology, routers, LIGHT_LOAD_RATIO),
+        backlog_flow(topology, first, workers, router=0),
+        backlog_flow(topology, second, workers),
+        backlog_flow(topology, third, workers, router=1 % routers),
+        backlog_flow(topology, small, workers, router=2 % routers),
     ]
 
 
