--- a/borageworks_emulator/platform/tests/test_responses.py
+++ b/borageworks_emulator/platform/tests/test_responses.py
@@ -227,7 +227,7 @@
         successor = EmulatedEndpoint("i-new", lambda _r: Behaviour(plain=True))
 
         async def scenario(harness):
-            replaced = EmulatedEndpoint("i-replaced")
+            replaced = EmulatedEndpoint("i-gone")
             replaced.address = successor.address
             await harness.store.delete("servers/i-new")
             await harness.register(replaced, DESK)
--- a/borageworks_emulator/scenarios/crossed_answers.py
+++ b/borageworks_emulator/scenarios/crossed_answers.py
@@ -27,12 +27,12 @@
 
 
 def _checks(result: Result, load: LoadResult) -> list[Check]:
-    return [at_least("pairs of responses swapped", result.faults.get("crossed", 0), 1)]
+    return [at_least("pairs of answers exchanged", result.faults.get("crossed", 0), 1)]
 
 
 CROSSED_ANSWERS = Scenario(
     name="crossed-answers",
-    description="each endpoint swaps a pair of responses every second",
+    description="each endpoint exchanges a pair of answers every second",
     flows=everyday_flows,
     faults=_faults,
     checks=_checks,
--- a/borageworks_emulator/scenarios/pause_and_wake.py
+++ b/borageworks_emulator/scenarios/pause_and_wake.py
@@ -44,7 +44,7 @@
 
 PAUSE_AND_WAKE = Scenario(
     name="pause-and-wake",
-    description="a router is paused for 8 s while others take over, then resumes",
+    description="a router is paused for 8 s while others take over, then goes on",
     flows=everyday_flows,
     faults=_faults,
     checks=_checks,
--- a/borageworks_emulator/scenarios/resend.py
+++ b/borageworks_emulator/scenarios/resend.py
@@ -38,7 +38,7 @@
 
 RESEND = Scenario(
     name="resend",
-    description="protected requests sent three times, with late responses and a kill",
+    description="protected requests are sent three times, with late answers and a kill",
     flows=_flows,
     faults=_faults,
     may_refuse=frozenset(("request_in_progress", "answer_not_held", "outcome_unknown")),
--- a/borageworks_emulator/scenarios/store_down_start.py
+++ b/borageworks_emulator/scenarios/store_down_start.py
@@ -29,7 +29,7 @@
 def _checks(result: Result, load: LoadResult) -> list[Check]:
     return [
         at_most(
-            "time until ready with the store down, s",
+            "ready with the store down after, s",
             result.notes["router_back_after_s"],
             DOWNTIME_S + READY_LIMIT_S,
         )
--- a/borageworks_emulator/scenarios/store_outage.py
+++ b/borageworks_emulator/scenarios/store_outage.py
@@ -31,17 +31,17 @@
     ]
     return [
         at_most(
-            "requests without idempotency key refused due to the store",
+            "requests without key refused for the store",
             sum(1 for call in refused if not call.key),
             0,
         ),
         at_most(
-            "refusals due to the store not marked not_run",
+            "refusals for the store not marked not_run",
             sum(1 for call in refused if call.ran != "not_run"),
             0,
         ),
         at_least("protected requests refused in the outage", len(refused), 1),
-        at_least("protected responses after the outage", len(responses), 1),
+        at_least("protected answers after the outage", len(responses), 1),
     ]
 
 
--- a/borageworks_emulator/scenarios/ticket_race.py
+++ b/borageworks_emulator/scenarios/ticket_race.py
@@ -121,7 +121,7 @@
     notes = result.notes
     return [
         at_least("tickets that met a conflict", notes["conflicts"], 1),
-        at_most("ticket numbers accepted twice", notes["accepted_twice"], 0),
+        at_most("numbers accepted twice", notes["accepted_twice"], 0),
         at_most("reverted", notes["reverted"], 0),
         at_most("in effect everywhere, s", notes["in_effect_max_s"], targets.EFFECT_S),
         at_most(
