--- a/borageworks/gateway/codec.py
+++ b/borageworks/gateway/codec.py
@@ -7,10 +7,10 @@
 
 from multidict import CIMultiDictProxy
 
-from borageworks.gateway.answer_head import ResponseHead
 from borageworks.gateway.caller_request import CallerRequest
 from borageworks.gateway.deployment import Deployment
 from borageworks.gateway.endpoint import Endpoint
+from borageworks.gateway.response_head import ResponseHead
 from borageworks.placement.memory_news import CacheUpdate
 
 
--- a/borageworks/gateway/exchange.py
+++ b/borageworks/gateway/exchange.py
@@ -27,13 +27,13 @@
     EndpointUnreachableError,
     RefusalError,
 )
-from borageworks.gateway.answer_head import ResponseHead
 from borageworks.gateway.caller_request import CallerRequest
 from borageworks.gateway.codec import Codec
 from borageworks.gateway.directory import Directory
 from borageworks.gateway.endpoint import Endpoint
 from borageworks.gateway.event_stream import EventSplitter
 from borageworks.gateway.placer import Placer
+from borageworks.gateway.response_head import ResponseHead
 from borageworks.gateway.route import RetryPolicy, Route
 from borageworks.gateway.upstream import Upstream, read_body
 from borageworks.metrics import Metrics
--- a/borageworks/platform/answers.py
+++ b/borageworks/platform/answers.py
@@ -4,7 +4,7 @@
 
 from multidict import CIMultiDictProxy
 
-from borageworks.gateway.answer_head import ResponseHead
+from borageworks.gateway.response_head import ResponseHead
 from borageworks.platform import names
 
 MISDIRECTED = 421
