--- a/borageworks/gateway/codec.py
+++ b/borageworks/gateway/codec.py
@@ -11,7 +11,7 @@
 from borageworks.gateway.deployment import Deployment
 from borageworks.gateway.endpoint import Endpoint
 from borageworks.gateway.response_head import ResponseHead
-from borageworks.placement.memory_news import CacheUpdate
+from borageworks.placement.cache_update import CacheUpdate
 
 
 class Codec(Protocol):
--- a/borageworks/gateway/placement_messages.py
+++ b/borageworks/gateway/placement_messages.py
@@ -12,7 +12,7 @@
 )
 from borageworks.gateway.caller_request import Prompt, PromptPart
 from borageworks.placement.decisions import Decision, Placed, RefusalReason, Refused
-from borageworks.placement.reading_speed import PrefillSpeed
+from borageworks.placement.prefill_speed import PrefillSpeed
 from borageworks.placement.work import Work
 from borageworks.wire.messages import PlaceReply, PlaceRequest, PlaceState, PromptPiece
 
--- a/borageworks/gateway/placer.py
+++ b/borageworks/gateway/placer.py
@@ -22,11 +22,11 @@
     refusal_error,
 )
 from borageworks.metrics import Metrics
+from borageworks.placement.cache_update import CacheUpdate
 from borageworks.placement.decisions import Decision, Placed, RefusalReason, Refused
 from borageworks.placement.dispatcher import Dispatcher
-from borageworks.placement.memory_news import CacheUpdate
 from borageworks.placement.outcome import WorkOutcome
-from borageworks.placement.reading_speed import PrefillSpeed
+from borageworks.placement.prefill_speed import PrefillSpeed
 from borageworks.placement.settings import PlacementSettings
 from borageworks.placement.shards import ServiceShards, Shard
 from borageworks.placement.work import Work, WorkKey
--- a/borageworks/placement/dispatcher.py
+++ b/borageworks/placement/dispatcher.py
@@ -10,12 +10,12 @@
 from borageworks.fair.queue import FairQueue
 from borageworks.gateway.deployment import ServiceProfile
 from borageworks.gateway.endpoint import Endpoint
+from borageworks.placement.cache_update import CacheUpdate
 from borageworks.placement.decisions import Decision, Placed, RefusalReason, Refused
 from borageworks.placement.endpoint_state import EndpointState, RunningWork
-from borageworks.placement.memory_news import CacheUpdate
 from borageworks.placement.outcome import WorkOutcome
+from borageworks.placement.prefill_speed import PrefillSpeed
 from borageworks.placement.prompt_cache import PromptCache
-from borageworks.placement.reading_speed import PrefillSpeed
 from borageworks.placement.settings import PlacementSettings
 from borageworks.placement.work import GENERATED_WEIGHT, PLAIN_UNITS, Work, WorkKey
 from borageworks.routing.suspects import CrashSuspects, Verdict
--- a/borageworks/placement/prompt_cache.py
+++ b/borageworks/placement/prompt_cache.py
@@ -5,7 +5,7 @@
 from collections import OrderedDict
 
 from borageworks.gateway.caller_request import Prompt
-from borageworks.placement.memory_news import CacheUpdate
+from borageworks.placement.cache_update import CacheUpdate
 
 _PartKey = tuple[str, str]
 
@@ -20,7 +20,7 @@
     Parameters
     ----------
     capacity_tokens
-        Tokens that the engine holds in all.
+        Total tokens cached by the engine.
     """
 
     def __init__(self, capacity_tokens: int) -> None:
--- a/borageworks/placement/tests/test_components.py
+++ b/borageworks/placement/tests/test_components.py
@@ -5,9 +5,9 @@
 from testtools import TestCase
 
 from borageworks.gateway.caller_request import Prompt, PromptPart
-from borageworks.placement.memory_news import CachedPart, CacheUpdate
+from borageworks.placement.cache_update import CachedPart, CacheUpdate
+from borageworks.placement.prefill_speed import PrefillSpeed
 from borageworks.placement.prompt_cache import PromptCache
-from borageworks.placement.reading_speed import PrefillSpeed
 from borageworks.placement.retry_window import SAFETY_RATIO, RetryWindow
 from borageworks.placement.shards import (
     MAX_CACHED_PARTS,
--- a/borageworks/placement/tests/test_dispatcher.py
+++ b/borageworks/placement/tests/test_dispatcher.py
@@ -2,8 +2,8 @@
 
 from testtools import TestCase
 
+from borageworks.placement.cache_update import CachedPart, CacheUpdate
 from borageworks.placement.decisions import Placed, RefusalReason, Refused
-from borageworks.placement.memory_news import CachedPart, CacheUpdate
 from borageworks.placement.outcome import WorkOutcome
 from borageworks.placement.tests.builders import (
     endpoint,
--- a/borageworks/platform/engine_memory.py
+++ b/borageworks/platform/engine_memory.py
@@ -7,7 +7,7 @@
 import orjson
 
 from borageworks.exceptions import EndpointReplyMalformedError
-from borageworks.placement.memory_news import CachedPart, CacheUpdate
+from borageworks.placement.cache_update import CachedPart, CacheUpdate
 
 EVENTS_PATH = "/kv-events"
 LIST_PATH = "/kv-list"
--- a/borageworks/platform/tests/test_decoding.py
+++ b/borageworks/platform/tests/test_decoding.py
@@ -17,7 +17,7 @@
     SettingsInvalidError,
 )
 from borageworks.gateway.route import RetryPolicy
-from borageworks.placement.memory_news import CachedPart
+from borageworks.placement.cache_update import CachedPart
 from borageworks.platform.answers import decode_response_head
 from borageworks.platform.configuration import decode_configuration
 from borageworks.platform.engine_memory import decode_events, decode_list
