--- a/borageworks/platform/codec.py
+++ b/borageworks/platform/codec.py
@@ -2,10 +2,9 @@
 
 from __future__ import annotations
 
-from borageworks.platform import names
-from borageworks.platform.answers import decode_response_head
+from borageworks.platform import protocol_names
 from borageworks.platform.configuration import decode_configuration
-from borageworks.platform.engine_memory import (
+from borageworks.platform.engine_cache import (
     LIST_PATH,
     WAIT_HEADER,
     decode_events,
@@ -18,14 +17,15 @@
     decode_request,
     forwarded_headers,
 )
+from borageworks.platform.responses import decode_response_head
 
 
 class PlatformCodec:
     """Encodes and decodes the platform's messages."""
 
-    configuration_key = names.CONFIGURATION_KEY
-    endpoint_prefix = names.ENDPOINT_PREFIX
-    own_prefix = names.OWN_PREFIX
+    configuration_key = protocol_names.CONFIGURATION_KEY
+    endpoint_prefix = protocol_names.ENDPOINT_PREFIX
+    own_prefix = protocol_names.OWN_PREFIX
     cache_wait_header = WAIT_HEADER
     cache_list_target = LIST_PATH
     decode_configuration = staticmethod(decode_configuration)
--- a/borageworks/platform/entries.py
+++ b/borageworks/platform/entries.py
@@ -9,7 +9,7 @@
 
 from borageworks.exceptions import EndpointEntryMalformedError
 from borageworks.gateway.endpoint import Endpoint
-from borageworks.platform import names
+from borageworks.platform import protocol_names
 
 MAX_PORT = 65_535
 
@@ -51,7 +51,7 @@
     if not 0 < port_number <= MAX_PORT:
         raise EndpointEntryMalformedError(f"{key}: port {port_number} out of range")
     return Endpoint(
-        id=key.removeprefix(names.ENDPOINT_PREFIX),
+        id=key.removeprefix(protocol_names.ENDPOINT_PREFIX),
         service=entry.service,
         host=host,
         port=port_number,
--- a/borageworks/platform/requests.py
+++ b/borageworks/platform/requests.py
@@ -9,7 +9,7 @@
 
 from borageworks.endpoints.headers import end_to_end
 from borageworks.gateway.caller_request import CallerRequest, Prompt, PromptPart
-from borageworks.platform import names
+from borageworks.platform import protocol_names
 
 AUTHORIZATION_SCHEME = "token "
 MILLISECONDS_PER_SECOND = 1000.0
@@ -18,9 +18,9 @@
 _RESERVED_HEADERS = frozenset(
     name.lower()
     for name in (
-        names.REMAINING_MS,
-        names.ORGANISATION,
-        names.EXPECTED_ENDPOINT,
+        protocol_names.REMAINING_MS,
+        protocol_names.ORGANISATION,
+        protocol_names.EXPECTED_ENDPOINT,
         "X-Borageworks-Hold",
         "X-Borageworks-Pin-Duration",
         "X-Borageworks-Kv-Backup",
@@ -46,7 +46,7 @@
     """
     host = headers.get("Host", "").rpartition(":")
     return CallerRequest(
-        id=headers.get(names.REQUEST_ID, ""),
+        id=headers.get(protocol_names.REQUEST_ID, ""),
         method=method,
         target=target,
         host=(host[0] if host[1] and host[2].isdigit() else headers.get("Host", ""))
@@ -54,14 +54,14 @@
         .lower(),
         path=target.partition("?")[0],
         api_key=caller_api_key(headers),
-        remaining_s=_parse_seconds(headers.get(names.REMAINING_MS)),
-        last_event_id=_parse_count(headers.get(names.LAST_EVENT_ID)),
+        remaining_s=_parse_seconds(headers.get(protocol_names.REMAINING_MS)),
+        last_event_id=_parse_count(headers.get(protocol_names.LAST_EVENT_ID)),
         prompt=_decode_prompt(headers),
         headers=tuple(
             (name, value)
             for name, value in end_to_end(headers.items())
             if name.lower() not in _RESERVED_HEADERS
-            and name.lower() != names.LAST_EVENT_ID.lower()
+            and name.lower() != protocol_names.LAST_EVENT_ID.lower()
         ),
     )
 
@@ -94,12 +94,12 @@
     remaining_ms = max(1, math.floor(remaining_s * MILLISECONDS_PER_SECOND))
     yield "Host", host_header
     yield from request.headers
-    yield names.REMAINING_MS, str(remaining_ms)
-    yield names.EXPECTED_ENDPOINT, endpoint
+    yield protocol_names.REMAINING_MS, str(remaining_ms)
+    yield protocol_names.EXPECTED_ENDPOINT, endpoint
     if organisation is not None:
-        yield names.ORGANISATION, organisation
+        yield protocol_names.ORGANISATION, organisation
     if last_event_id is not None:
-        yield names.LAST_EVENT_ID, str(last_event_id)
+        yield protocol_names.LAST_EVENT_ID, str(last_event_id)
 
 
 def caller_api_key(headers: CIMultiDictProxy[str]) -> str | None:
@@ -125,7 +125,7 @@
 
 
 def _decode_prompt(headers: CIMultiDictProxy[str]) -> Prompt | None:
-    prompt, _, generated = headers.get(names.TOKEN_COUNT, "").partition(",")
+    prompt, _, generated = headers.get(protocol_names.TOKEN_COUNT, "").partition(",")
     prompt_tokens, generated_tokens = (
         _parse_count(prompt.strip()),
         _parse_count(generated.strip()),
@@ -133,10 +133,10 @@
     if prompt_tokens is None or generated_tokens is None:
         return None
     return Prompt(
-        model=headers.get(names.MODEL, ""),
+        model=headers.get(protocol_names.MODEL, ""),
         tokens=prompt_tokens,
         generated_tokens=generated_tokens,
-        parts=tuple(_decode_parts(headers.get(names.PROMPT_PARTS, ""))),
+        parts=tuple(_decode_parts(headers.get(protocol_names.PROMPT_PARTS, ""))),
     )
 
 
--- a/borageworks/platform/answers.py
+++ b/borageworks/platform/responses.py
@@ -5,17 +5,17 @@
 from multidict import CIMultiDictProxy
 
 from borageworks.gateway.response_head import ResponseHead
-from borageworks.platform import names
+from borageworks.platform import protocol_names
 
-MISDIRECTED = 421
+MISDIRECTED_STATUS = 421
 
 
 def decode_response_head(status: int, headers: CIMultiDictProxy[str]) -> ResponseHead:
     """Return the status and headers of a response in decoded form."""
     return ResponseHead(
         status=status,
-        request_id=headers.get(names.REQUEST_ID),
-        has_seal=names.RESPONSE_SEAL in headers,
-        not_run=names.NOT_EXECUTED in headers or status == MISDIRECTED,
-        wrong_endpoint=status == MISDIRECTED,
+        request_id=headers.get(protocol_names.REQUEST_ID),
+        has_seal=protocol_names.RESPONSE_SEAL in headers,
+        not_run=protocol_names.NOT_EXECUTED in headers or status == MISDIRECTED_STATUS,
+        wrong_endpoint=status == MISDIRECTED_STATUS,
     )
--- a/borageworks/platform/tests/test_decoding.py
+++ b/borageworks/platform/tests/test_decoding.py
@@ -18,11 +18,11 @@
 )
 from borageworks.gateway.route import RetryPolicy
 from borageworks.placement.cache_update import CachedPart
-from borageworks.platform.answers import decode_response_head
 from borageworks.platform.configuration import decode_configuration
-from borageworks.platform.engine_memory import decode_events, decode_list
+from borageworks.platform.engine_cache import decode_events, decode_list
 from borageworks.platform.entries import decode_entry
 from borageworks.platform.requests import decode_request, forwarded_headers
+from borageworks.platform.responses import decode_response_head
 from borageworks.platform.settings import parse_settings
 from borageworks_emulator.platform.harness import configuration, settings_text
 
