--- a/borageworks/fair/tests/fleet_model.py
+++ b/borageworks/fair/tests/fleet_model.py
@@ -13,7 +13,7 @@
 
 from borageworks.config.settings import FairSettings
 from borageworks.fair.cost import CostEstimator
-from borageworks.fair.drift import DriftCorrection
+from borageworks.fair.drift_correction import DriftCorrection
 from borageworks.fair.gap_bound import gap_bound
 from borageworks.fair.ledger import ServiceLedger
 from borageworks.fair.queue import FairQueue
--- a/borageworks/fair/tests/measure_correction.py
+++ b/borageworks/fair/tests/measure_correction.py
@@ -10,7 +10,7 @@
 from functools import partial
 from statistics import median
 
-from borageworks.fair.drift import DriftCorrection
+from borageworks.fair.drift_correction import DriftCorrection
 from borageworks.fair.tests.fleet_model import (
     CorrectionRule,
     FleetModel,
--- a/borageworks/fair/tests/test_correction.py
+++ b/borageworks/fair/tests/test_correction.py
@@ -5,8 +5,10 @@
 import testtools
 
 from borageworks.config.settings import FairSettings
-from borageworks.fair.drift import RETENTION_EXCHANGES as DRIFT_RETENTION_EXCHANGES
-from borageworks.fair.drift import DriftCorrection
+from borageworks.fair.drift_correction import (
+    RETENTION_EXCHANGES as DRIFT_RETENTION_EXCHANGES,
+)
+from borageworks.fair.drift_correction import DriftCorrection
 from borageworks.fair.tests.fleet_model import CorrectionRule, FleetModel, Scenario
 from borageworks.fair.tests.measure_correction import recovery
 from borageworks.fair.tests.proportional import (
--- a/borageworks/fair/virtual_times.py
+++ b/borageworks/fair/virtual_times.py
@@ -9,7 +9,7 @@
 
 
 @dataclass(slots=True)
-class _State:
+class _OrganisationState:
     virtual_time: float
     counted_units: float
     share: float
@@ -29,7 +29,7 @@
     """
 
     def __init__(self) -> None:
-        self._states: dict[str, _State] = {}
+        self._states: dict[str, _OrganisationState] = {}
         self._backlogged: frozenset[str] = frozenset()
         self._mean = 0.0
 
@@ -75,7 +75,7 @@
             if state is None:
                 total = totals.get(other.organisation, 0.0)
                 virtual_time = total / other.share + other.offset
-                state = _State(virtual_time, total, other.share)
+                state = _OrganisationState(virtual_time, total, other.share)
                 self._states[other.organisation] = state
             elif state.share == other.share:
                 virtual_time = state.counted_units / state.share + other.offset
@@ -108,7 +108,7 @@
         for organisation in backlogged - self._backlogged:
             entered = self._states.setdefault(
                 organisation,
-                _State(
+                _OrganisationState(
                     self._mean,
                     totals.get(organisation, 0.0),
                     shares.get(organisation, 1.0),
--- a/borageworks/router/exchange.py
+++ b/borageworks/router/exchange.py
@@ -9,7 +9,7 @@
 from borageworks.catalog.replica import Replica
 from borageworks.config.settings import Settings
 from borageworks.fair.aggregator import Aggregator
-from borageworks.fair.drift import DriftCorrection
+from borageworks.fair.drift_correction import DriftCorrection
 from borageworks.membership.member import Member
 from borageworks.metrics import Metrics
 from borageworks.router.owner import Owner
