--- a/borageworks/endpoints/engine.py
+++ b/borageworks/endpoints/engine.py
@@ -10,10 +10,10 @@
 
 from borageworks.catalog.objects import Endpoint
 from borageworks.config.settings import FairSettings
+from borageworks.endpoints.bounded_body import read_bounded
 from borageworks.endpoints.call import Call
 from borageworks.endpoints.exchange import Exchange
 from borageworks.endpoints.headers import end_to_end
-from borageworks.endpoints.limits import read_bounded
 from borageworks.endpoints.progress import Progress
 from borageworks.endpoints.sink import Sink
 from borageworks.endpoints.stream import StreamDecoder, StreamEvent
--- a/borageworks/gateway/cache_follower.py
+++ b/borageworks/gateway/cache_follower.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from borageworks.endpoints.limits import read_bounded
+from borageworks.endpoints.bounded_body import read_bounded
 from borageworks.exceptions import EndpointFailedError, EndpointReplyMalformedError
 from borageworks.gateway.codec import Codec
 from borageworks.gateway.endpoint import Endpoint
--- a/borageworks/gateway/exchange.py
+++ b/borageworks/gateway/exchange.py
@@ -10,8 +10,8 @@
 import xxhash
 
 from borageworks.api.sink import ResponseSink
+from borageworks.endpoints.bounded_body import read_bounded
 from borageworks.endpoints.headers import end_to_end
-from borageworks.endpoints.limits import read_bounded
 from borageworks.events import Event, emit
 from borageworks.exceptions import (
     AnswerLostError,
