--- a/borageworks_emulator/platform/engine.py
+++ b/borageworks_emulator/platform/endpoint.py
@@ -12,8 +12,8 @@
 from aiohttp import web
 from multidict import CIMultiDictProxy
 
-SEAL = "X-Borageworks-Response-Seal"
-REQUEST_ID = "X-Borageworks-Attempt-Id"
+SEAL_HEADER = "X-Borageworks-Response-Seal"
+ATTEMPT_ID_HEADER = "X-Borageworks-Attempt-Id"
 RESET_DELAY_S = 0.02
 
 
@@ -29,10 +29,10 @@
         Whether it refuses the request and states that it was not run.
     hang
         Whether it never responds.
-    break_after
+    reset_after_events
         Number of events after which it resets the connection, None for never; 0 resets
         before the headers of the response.
-    torn
+    ends_mid_event
         Whether the reset cuts an event in the middle.
     stated_request_id
         Request id in the response headers, None for that of the request.
@@ -42,41 +42,44 @@
         Whether the response has neither length nor chunks and ends by a reset.
     events
         Number of events of a stream.
-    pause_s
+    event_interval_s
         Seconds between events.
-    plain
+    plain_body
         Whether the response has a plain body instead of an event stream.
-    named
+    with_request_id
         Whether body and events contain the request id.
-    think_s
+    response_delay_s
         Seconds before the response, or the first event of a stream.
     """
 
     status: int = 200
     not_run: bool = False
     hang: bool = False
-    break_after: int | None = None
-    torn: bool = False
+    reset_after_events: int | None = None
+    ends_mid_event: bool = False
     stated_request_id: str | None = None
     sealed: bool = True
     without_length: bool = False
     events: int = 5
-    pause_s: float = 0.0
-    plain: bool = False
-    named: bool = False
-    think_s: float = 0.0
+    event_interval_s: float = 0.0
+    plain_body: bool = False
+    with_request_id: bool = False
+    response_delay_s: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class Run:
-    """A request that an endpoint has started to run; `at` is event loop time."""
+    """A request that an endpoint has started to run.
+
+    `started_at` is event loop time.
+    """
 
     id: str
     method: str
     target: str
     headers: CIMultiDictProxy[str]
     body: bytes
-    at: float
+    started_at: float
 
 
 class EmulatedEndpoint:
@@ -86,23 +89,25 @@
     ----------
     name
         Name under which it is registered; it refuses requests that expect another one.
-    behave
+    behaviour_of
         Returns how a request is handled.
 
     Attributes
     ----------
-    began, finished
+    on_run_started, on_run_finished
         Called when a request starts to run, and when the endpoint has stopped working
         on it.
     """
 
     def __init__(
-        self, name: str, behave: Callable[[web.BaseRequest], Behaviour] | None = None
+        self,
+        name: str,
+        behaviour_of: Callable[[web.BaseRequest], Behaviour] | None = None,
     ) -> None:
         self.name = name
-        self.began: Callable[[Run], None] = lambda _run: None
-        self.finished: Callable[[Run], None] = lambda _run: None
-        self.behave = behave or (lambda _request: Behaviour())
+        self.on_run_started: Callable[[Run], None] = lambda _run: None
+        self.on_run_finished: Callable[[Run], None] = lambda _run: None
+        self.behaviour_of = behaviour_of or (lambda _request: Behaviour())
         self.runs: list[Run] = []
         self.refused = 0
         self.cancelled: list[str] = []
@@ -140,15 +145,15 @@
             return web.json_response(
                 {"epoch": "1", "next": 1, "lost": False, "events": []}
             )
-        request_id = request.headers.get(REQUEST_ID, "")
+        request_id = request.headers.get(ATTEMPT_ID_HEADER, "")
         if request.headers.get("X-Borageworks-Expect-Instance") != self.name:
             self.refused += 1
             return web.Response(status=421)
         body = await request.read()
-        behaviour = self.behave(request)
-        headers = {REQUEST_ID: behaviour.stated_request_id or request_id}
+        behaviour = self.behaviour_of(request)
+        headers = {ATTEMPT_ID_HEADER: behaviour.stated_request_id or request_id}
         if behaviour.sealed:
-            headers[SEAL] = f"seal-of-{self.name}"
+            headers[SEAL_HEADER] = f"seal-of-{self.name}"
         if behaviour.not_run:
             self.refused += 1
             headers["X-Borageworks-Not-Executed"] = "1"
@@ -162,7 +167,7 @@
             asyncio.get_running_loop().time(),
         )
         self.runs.append(run)
-        self.began(run)
+        self.on_run_started(run)
         try:
             return await self._run(request, behaviour, headers)
         except asyncio.CancelledError:
@@ -173,7 +178,7 @@
             self.cancelled.append(request_id)
             raise asyncio.CancelledError from None
         finally:
-            self.finished(run)
+            self.on_run_finished(run)
 
     async def _run(
         self, request: web.BaseRequest, behaviour: Behaviour, headers: dict[str, str]
@@ -181,12 +186,16 @@
         assert request.transport is not None
         if behaviour.hang:
             await asyncio.sleep(3600)
-        if behaviour.break_after == 0:
+        if behaviour.reset_after_events == 0:
             _reset(request)
-        await asyncio.sleep(behaviour.think_s)
-        request_id = request.headers.get(REQUEST_ID, "") if behaviour.named else ""
-        if behaviour.status != 200 or behaviour.plain:
-            text = plain_text(self.name, request_id)
+        await asyncio.sleep(behaviour.response_delay_s)
+        request_id = (
+            request.headers.get(ATTEMPT_ID_HEADER, "")
+            if behaviour.with_request_id
+            else ""
+        )
+        if behaviour.status != 200 or behaviour.plain_body:
+            text = plain_body_text(self.name, request_id)
             return web.Response(status=behaviour.status, headers=headers, text=text)
         response = web.StreamResponse(headers=headers)
         response.content_type = "text/event-stream"
@@ -204,15 +213,15 @@
         await response.prepare(request)
         first = int(request.headers.get("Last-Event-Id", "-1")) + 1
         for sent, event in enumerate(range(first, behaviour.events)):
-            if sent == behaviour.break_after:
-                if behaviour.torn:
+            if sent == behaviour.reset_after_events:
+                if behaviour.ends_mid_event:
                     await response.write(f"id: {event}\nda".encode())
                 # An immediate reset would discard data that is still in flight.
                 await asyncio.sleep(RESET_DELAY_S)
                 _reset(request)
                 return response
             await response.write(event_bytes(event, request_id))
-            await asyncio.sleep(behaviour.pause_s)
+            await asyncio.sleep(behaviour.event_interval_s)
         await response.write_eof()
         return response
 
@@ -249,6 +258,6 @@
     return f"id: {event}\ndata: {event}{request_id}\n\n".encode()
 
 
-def plain_text(endpoint: str, request_id: str = "") -> str:
+def plain_body_text(endpoint: str, request_id: str = "") -> str:
     """Return the body of a plain response."""
     return f"by {endpoint}{request_id}"
--- a/borageworks_emulator/platform/harness.py
+++ b/borageworks_emulator/platform/harness.py
@@ -16,14 +16,14 @@
 from borageworks.platform.codec import PlatformCodec
 from borageworks.platform.settings import parse_settings
 from borageworks.platform.store import PlatformStore
-from borageworks_emulator.platform.engine import EmulatedEndpoint
+from borageworks_emulator.platform.endpoint import EmulatedEndpoint
 from borageworks_emulator.platform.store import EmulatedPlatformStore
 from borageworks_emulator.ports import free_ports
 
 HOST = "api.example"
-KEY = "key-1"
-ENGINES = "engines"
-DESK = "desk"
+API_KEY = "key-1"
+ENGINE_SERVICE = "engines"
+PLAIN_SERVICE = "desk"
 READY_TIMEOUT_S = 10.0
 POLL_INTERVAL_S = 0.01
 
@@ -81,22 +81,22 @@
     return {
         "version": version,
         "routes": [
-            route("resume", "streaming", ENGINES, resumable=True, sticky=True),
-            route("once", "streaming", ENGINES, sticky=True),
-            route("book", "non_idempotent", DESK),
-            route("look", "idempotent", DESK),
-            route("open", "idempotent", DESK, public=True),
+            route("resume", "streaming", ENGINE_SERVICE, resumable=True, sticky=True),
+            route("once", "streaming", ENGINE_SERVICE, sticky=True),
+            route("book", "non_idempotent", PLAIN_SERVICE),
+            route("look", "idempotent", PLAIN_SERVICE),
+            route("open", "idempotent", PLAIN_SERVICE, public=True),
         ],
         "services": [
             {
-                "name": ENGINES,
+                "name": ENGINE_SERVICE,
                 "max_conns": 100,
                 "engine": {"slots": 8, "kv_capacity": 100_000},
             },
-            {"name": DESK, "max_conns": 100},
+            {"name": PLAIN_SERVICE, "max_conns": 100},
         ],
         "limits": {"tokens_per_s": 20_000},
-        "tenants": [{"name": "workshop", "api_keys": [KEY]}],
+        "tenants": [{"name": "workshop", "api_keys": [API_KEY]}],
         **changes,
     }
 
@@ -209,7 +209,7 @@
         self._request_number += 1
         return {
             "Host": HOST,
-            "Authorization": f"Token {KEY}",
+            "Authorization": f"Token {API_KEY}",
             "X-Borageworks-Attempt-Id": f"{self._name}-{self._request_number}",
             "X-Borageworks-Deadline-Remaining": "3000",
             "X-Borageworks-Model": "m",
--- a/borageworks_emulator/platform/tests/test_entry_overload.py
+++ b/borageworks_emulator/platform/tests/test_entry_overload.py
@@ -8,8 +8,8 @@
 import orjson
 from testtools import TestCase
 
-from borageworks_emulator.platform.engine import Behaviour, EmulatedEndpoint
-from borageworks_emulator.platform.harness import DESK, HOST, configuration
+from borageworks_emulator.platform.endpoint import Behaviour, EmulatedEndpoint
+from borageworks_emulator.platform.harness import HOST, PLAIN_SERVICE, configuration
 from borageworks_emulator.platform.store import EmulatedPlatformStore
 from borageworks_emulator.process import Program
 from borageworks_emulator.soak.gateway_process import GatewayProcess
@@ -39,7 +39,7 @@
     def __init__(self, directory):
         self.store = EmulatedPlatformStore()
         self.endpoints = [
-            EmulatedEndpoint(f"desk-{number}", lambda _: Behaviour(plain=True))
+            EmulatedEndpoint(f"desk-{number}", lambda _: Behaviour(plain_body=True))
             for number in range(2)
         ]
         self.gateway = GatewayProcess("edge-1", "zone-a", directory)
@@ -49,7 +49,7 @@
         await self.store.start()
         for endpoint in self.endpoints:
             await endpoint.start()
-            entry = endpoint.entry(DESK, slots=1000)
+            entry = endpoint.entry(PLAIN_SERVICE, slots=1000)
             await self.store.put(f"servers/{endpoint.name}", entry)
         tenants = [{"name": name, "api_keys": [name]} for name in ("flood", "small")]
         await self.store.put("op/config", orjson.dumps(configuration(tenants=tenants)))
--- a/borageworks_emulator/platform/tests/test_faults.py
+++ b/borageworks_emulator/platform/tests/test_faults.py
@@ -7,10 +7,10 @@
 from testtools import TestCase
 
 from borageworks.exceptions import StoreUnavailableError
-from borageworks_emulator.platform.engine import Behaviour, EmulatedEndpoint
+from borageworks_emulator.platform.endpoint import Behaviour, EmulatedEndpoint
 from borageworks_emulator.platform.harness import (
-    DESK,
-    ENGINES,
+    ENGINE_SERVICE,
+    PLAIN_SERVICE,
     Harness,
     configuration,
 )
@@ -18,7 +18,7 @@
 
 
 def plain_endpoint(name):
-    return EmulatedEndpoint(name, lambda _request: Behaviour(plain=True))
+    return EmulatedEndpoint(name, lambda _request: Behaviour(plain_body=True))
 
 
 async def wait_until(condition, timeout_s=6.0):
@@ -41,8 +41,8 @@
     def run_scenario(self, scenario, **options):
         async def main():
             endpoints = {
-                DESK: [plain_endpoint("i-1")],
-                ENGINES: [EmulatedEndpoint("i-e")],
+                PLAIN_SERVICE: [plain_endpoint("i-1")],
+                ENGINE_SERVICE: [EmulatedEndpoint("i-e")],
             }
             async with Harness(endpoints, **options) as harness:
                 return await scenario(harness)
@@ -175,10 +175,12 @@
 
     def test_shutdown_finishes_streams_and_refuses_late_requests(self):
         """Guards against a shutdown that cuts running responses."""
-        slow = EmulatedEndpoint("i-e", lambda _r: Behaviour(events=50, pause_s=0.05))
+        slow = EmulatedEndpoint(
+            "i-e", lambda _r: Behaviour(events=50, event_interval_s=0.05)
+        )
 
         async def main():
-            endpoints = {DESK: [plain_endpoint("i-1")], ENGINES: [slow]}
+            endpoints = {PLAIN_SERVICE: [plain_endpoint("i-1")], ENGINE_SERVICE: [slow]}
             async with Harness(endpoints, grace_s=5) as harness:
                 stopping = asyncio.create_task(harness.gateway.stop())
                 await asyncio.sleep(0.1)
@@ -205,8 +207,8 @@
 
         async def main():
             endpoints = {
-                DESK: [plain_endpoint("i-1")],
-                ENGINES: [EmulatedEndpoint("i-e")],
+                PLAIN_SERVICE: [plain_endpoint("i-1")],
+                ENGINE_SERVICE: [EmulatedEndpoint("i-e")],
             }
             async with (
                 Harness(endpoints) as first,
@@ -232,7 +234,10 @@
         busy = EmulatedEndpoint("i-1", lambda _r: Behaviour(hang=True))
 
         async def main():
-            endpoints = {DESK: [busy], ENGINES: [EmulatedEndpoint("i-e")]}
+            endpoints = {
+                PLAIN_SERVICE: [busy],
+                ENGINE_SERVICE: [EmulatedEndpoint("i-e")],
+            }
             async with (
                 Harness(endpoints) as first,
                 Harness({}, name="edge-2", store=first.store) as second,
@@ -259,8 +264,8 @@
 
         async def main():
             endpoints = {
-                DESK: [plain_endpoint("i-1"), plain_endpoint("i-2")],
-                ENGINES: [EmulatedEndpoint("i-e")],
+                PLAIN_SERVICE: [plain_endpoint("i-1"), plain_endpoint("i-2")],
+                ENGINE_SERVICE: [EmulatedEndpoint("i-e")],
             }
             async with (
                 Harness(endpoints) as first,
--- a/borageworks_emulator/platform/tests/test_feed.py
+++ b/borageworks_emulator/platform/tests/test_feed.py
@@ -6,10 +6,10 @@
 
 from testtools import TestCase
 
-from borageworks_emulator.platform.engine import Behaviour, EmulatedEndpoint
+from borageworks_emulator.platform.endpoint import Behaviour, EmulatedEndpoint
 from borageworks_emulator.platform.harness import (
-    DESK,
-    ENGINES,
+    ENGINE_SERVICE,
+    PLAIN_SERVICE,
     Harness,
     configuration,
 )
@@ -28,8 +28,13 @@
 class FeedTest(TestCase):
     def run_scenario(self, scenario):
         async def main():
-            endpoint = EmulatedEndpoint("i-1", lambda _request: Behaviour(plain=True))
-            endpoints = {DESK: [endpoint], ENGINES: [EmulatedEndpoint("i-e")]}
+            endpoint = EmulatedEndpoint(
+                "i-1", lambda _request: Behaviour(plain_body=True)
+            )
+            endpoints = {
+                PLAIN_SERVICE: [endpoint],
+                ENGINE_SERVICE: [EmulatedEndpoint("i-e")],
+            }
             async with AsyncExitStack() as stack:
                 first = await stack.enter_async_context(Harness(endpoints))
                 fleet = [first]
--- a/borageworks_emulator/platform/tests/test_responses.py
+++ b/borageworks_emulator/platform/tests/test_responses.py
@@ -5,12 +5,12 @@
 import aiohttp
 from testtools import TestCase
 
-from borageworks_emulator.platform.engine import (
+from borageworks_emulator.platform.endpoint import (
     Behaviour,
     EmulatedEndpoint,
     event_bytes,
 )
-from borageworks_emulator.platform.harness import DESK, ENGINES, Harness
+from borageworks_emulator.platform.harness import ENGINE_SERVICE, PLAIN_SERVICE, Harness
 
 COMPLETE_STREAM = b"".join(event_bytes(event) for event in range(5))
 
@@ -21,9 +21,12 @@
     return lambda _request: next(remaining, later or Behaviour())
 
 
-def endpoint_pair(behave):
+def endpoint_pair(behaviour_of):
     """Return two endpoints that handle requests alike."""
-    return [EmulatedEndpoint("i-1", behave), EmulatedEndpoint("i-2", behave)]
+    return [
+        EmulatedEndpoint("i-1", behaviour_of),
+        EmulatedEndpoint("i-2", behaviour_of),
+    ]
 
 
 def all_runs(endpoints):
@@ -32,7 +35,7 @@
 
 class ResponseTest(TestCase):
     def run_scenario(self, service, endpoints, scenario):
-        other = DESK if service == ENGINES else ENGINES
+        other = PLAIN_SERVICE if service == ENGINE_SERVICE else ENGINE_SERVICE
         idle = [EmulatedEndpoint("i-other")]
 
         async def main():
@@ -41,8 +44,8 @@
 
         return asyncio.run(main())
 
-    def send_request(self, service, behave, path, **headers):
-        endpoints = endpoint_pair(behave)
+    def send_request(self, service, behaviour_of, path, **headers):
+        endpoints = endpoint_pair(behaviour_of)
         response = self.run_scenario(
             service, endpoints, lambda harness: harness.send_request(path, **headers)
         )
@@ -50,9 +53,9 @@
 
     def test_response_is_passed_on_unaltered_with_its_seal(self):
         """Guards against a gateway that alters responses."""
-        behaviour = Behaviour(plain=True)
+        behaviour = Behaviour(plain_body=True)
         status, headers, body, endpoints = self.send_request(
-            DESK, lambda _r: behaviour, "/book/a?b=c"
+            PLAIN_SERVICE, lambda _r: behaviour, "/book/a?b=c"
         )
         (run,) = all_runs(endpoints)
         self.assertEqual(200, status)
@@ -65,8 +68,8 @@
     def test_endpoint_gets_the_organisation_and_no_key(self):
         """Guards against leaking API keys to endpoints and accepting forged headers."""
         *_, endpoints = self.send_request(
-            DESK,
-            lambda _r: Behaviour(plain=True),
+            PLAIN_SERVICE,
+            lambda _r: Behaviour(plain_body=True),
             "/book/",
             X_Borageworks_Tenant="other",
             X_Borageworks_Hold="h",
@@ -80,9 +83,13 @@
 
     def test_broken_stream_is_resumed_at_another_endpoint(self):
         """Guards against missing or duplicate events after a broken stream."""
-        for torn in (False, True):
-            behave = first_then(Behaviour(break_after=2, torn=torn))
-            status, _, body, endpoints = self.send_request(ENGINES, behave, "/resume/")
+        for ends_mid_event in (False, True):
+            behaviour_of = first_then(
+                Behaviour(reset_after_events=2, ends_mid_event=ends_mid_event)
+            )
+            status, _, body, endpoints = self.send_request(
+                ENGINE_SERVICE, behaviour_of, "/resume/"
+            )
             self.assertEqual((200, COMPLETE_STREAM), (status, body))
             first, second = sorted(
                 all_runs(endpoints), key=lambda run: len(run.headers)
@@ -92,7 +99,7 @@
 
     def test_stream_that_must_not_run_twice_is_cut(self):
         """Guards against a second run, and a truncated stream that looks complete."""
-        endpoints = endpoint_pair(lambda _r: Behaviour(break_after=2))
+        endpoints = endpoint_pair(lambda _r: Behaviour(reset_after_events=2))
 
         async def scenario(harness):
             try:
@@ -100,25 +107,31 @@
             except aiohttp.ClientPayloadError:
                 return "cut"
 
-        self.assertEqual("cut", self.run_scenario(ENGINES, endpoints, scenario))
+        self.assertEqual("cut", self.run_scenario(ENGINE_SERVICE, endpoints, scenario))
         self.assertEqual(1, len(all_runs(endpoints)))
 
     def test_lost_response_of_a_non_idempotent_request_gives_502(self):
         """Guards against a "not run" refusal of a request that may have run."""
-        behave = first_then(Behaviour(break_after=0))
-        status, _, _, endpoints = self.send_request(DESK, behave, "/book/")
+        behaviour_of = first_then(Behaviour(reset_after_events=0))
+        status, _, _, endpoints = self.send_request(
+            PLAIN_SERVICE, behaviour_of, "/book/"
+        )
         self.assertEqual((502, 1), (status, len(all_runs(endpoints))))
 
     def test_idempotent_request_is_retried_after_a_lost_response(self):
         """Guards against a failure where a retry would have succeeded."""
-        behave = first_then(Behaviour(break_after=0), Behaviour(plain=True))
-        status, _, _, endpoints = self.send_request(DESK, behave, "/look/")
+        behaviour_of = first_then(
+            Behaviour(reset_after_events=0), Behaviour(plain_body=True)
+        )
+        status, _, _, endpoints = self.send_request(
+            PLAIN_SERVICE, behaviour_of, "/look/"
+        )
         self.assertEqual((200, 2), (status, len(all_runs(endpoints))))
 
     def test_endpoints_own_failure_is_passed_on_when_retries_fail_too(self):
         """Guards against altering the status or seal of an endpoint's failure."""
         status, headers, body, endpoints = self.send_request(
-            DESK, lambda _r: Behaviour(status=500), "/look/"
+            PLAIN_SERVICE, lambda _r: Behaviour(status=500), "/look/"
         )
         self.assertEqual((500, 2), (status, len(all_runs(endpoints))))
         self.assertEqual(
@@ -128,14 +141,16 @@
 
     def test_refused_request_is_retried_at_another_endpoint(self):
         """Guards against refusing a request while another endpoint has a free slot."""
-        behave = first_then(Behaviour(not_run=True), Behaviour(plain=True))
-        status, _, _, endpoints = self.send_request(DESK, behave, "/book/")
+        behaviour_of = first_then(Behaviour(not_run=True), Behaviour(plain_body=True))
+        status, _, _, endpoints = self.send_request(
+            PLAIN_SERVICE, behaviour_of, "/book/"
+        )
         self.assertEqual((200, 1), (status, len(all_runs(endpoints))))
 
     def test_refusal_by_all_endpoints_gives_503_with_retry_after(self):
         """Guards against a refusal without a usable Retry-After."""
         status, headers, _, endpoints = self.send_request(
-            DESK, lambda _r: Behaviour(not_run=True), "/book/"
+            PLAIN_SERVICE, lambda _r: Behaviour(not_run=True), "/book/"
         )
         self.assertEqual((503, []), (status, all_runs(endpoints)))
         self.assertTrue(0 < float(headers["Retry-After"]) < 3)
@@ -143,20 +158,24 @@
     def test_response_without_a_seal_is_not_passed_on(self):
         """Guards against a success that the endpoint has not sealed."""
         status, *_ = self.send_request(
-            DESK, lambda _r: Behaviour(sealed=False, plain=True), "/book/"
+            PLAIN_SERVICE, lambda _r: Behaviour(sealed=False, plain_body=True), "/book/"
         )
         self.assertEqual(502, status)
 
     def test_response_to_another_request_is_not_passed_on(self):
         """Guards against passing on the response to another request."""
         status, *_ = self.send_request(
-            DESK, lambda _r: Behaviour(stated_request_id="other", plain=True), "/book/"
+            PLAIN_SERVICE,
+            lambda _r: Behaviour(stated_request_id="other", plain_body=True),
+            "/book/",
         )
         self.assertEqual(502, status)
 
     def test_503_without_not_executed_header_is_replaced(self):
         """Guards against passing on 503 for a request that may have run."""
-        status, *_ = self.send_request(DESK, lambda _r: Behaviour(status=503), "/book/")
+        status, *_ = self.send_request(
+            PLAIN_SERVICE, lambda _r: Behaviour(status=503), "/book/"
+        )
         self.assertEqual(502, status)
 
     def test_response_without_length_that_is_reset_is_truncated(self):
@@ -169,12 +188,12 @@
             except aiohttp.ClientPayloadError:
                 return "cut"
 
-        self.assertEqual("cut", self.run_scenario(ENGINES, endpoints, scenario))
+        self.assertEqual("cut", self.run_scenario(ENGINE_SERVICE, endpoints, scenario))
 
     def test_hanging_request_ends_at_the_callers_deadline(self):
         """Guards against responding after the caller's deadline."""
         status, *_ = self.send_request(
-            DESK,
+            PLAIN_SERVICE,
             lambda _r: Behaviour(hang=True),
             "/book/",
             X_Borageworks_Deadline_Remaining="300",
@@ -183,7 +202,7 @@
 
     def test_caller_disconnect_cancels_the_run(self):
         """Guards against endpoints that go on working after the caller has left."""
-        endpoints = endpoint_pair(lambda _r: Behaviour(pause_s=0.2))
+        endpoints = endpoint_pair(lambda _r: Behaviour(event_interval_s=0.2))
 
         async def scenario(harness):
             async with harness.session.post(
@@ -197,52 +216,54 @@
                 await asyncio.sleep(0.005)
             return False
 
-        self.assertTrue(self.run_scenario(ENGINES, endpoints, scenario))
+        self.assertTrue(self.run_scenario(ENGINE_SERVICE, endpoints, scenario))
 
     def test_crashing_request_reaches_at_most_three_endpoints(self):
         """Guards against one request that crashes all endpoints through retries."""
         endpoints = [
-            EmulatedEndpoint(f"i-{n}", lambda _r: Behaviour(break_after=0))
+            EmulatedEndpoint(f"i-{n}", lambda _r: Behaviour(reset_after_events=0))
             for n in range(6)
         ]
 
         async def scenario(harness):
             return [(await harness.send_request("/look/"))[0] for _ in range(4)]
 
-        statuses = self.run_scenario(DESK, endpoints, scenario)
+        statuses = self.run_scenario(PLAIN_SERVICE, endpoints, scenario)
         self.assertEqual(
             ([502, 502, 503, 503], 3), (statuses, len(all_runs(endpoints)))
         )
 
     def test_refusal_after_a_broken_attempt_gives_502(self):
         """Guards against 503 for a request that an earlier attempt may have run."""
-        behaviours = iter((Behaviour(break_after=0), Behaviour(not_run=True)))
+        behaviours = iter((Behaviour(reset_after_events=0), Behaviour(not_run=True)))
         status, _, _, endpoints = self.send_request(
-            DESK, lambda _r: next(behaviours), "/look/"
+            PLAIN_SERVICE, lambda _r: next(behaviours), "/look/"
         )
         self.assertEqual((502, 1), (status, len(all_runs(endpoints))))
 
     def test_replaced_endpoint_gets_no_requests(self):
         """Guards against sending a request to an endpoint that reuses an address."""
-        successor = EmulatedEndpoint("i-new", lambda _r: Behaviour(plain=True))
+        successor = EmulatedEndpoint("i-new", lambda _r: Behaviour(plain_body=True))
 
         async def scenario(harness):
             replaced = EmulatedEndpoint("i-gone")
             replaced.address = successor.address
             await harness.store.delete("servers/i-new")
-            await harness.register(replaced, DESK)
+            await harness.register(replaced, PLAIN_SERVICE)
             await harness.wait_until_current()
             return await harness.send_request("/book/")
 
-        status, *_ = self.run_scenario(DESK, [successor], scenario)
+        status, *_ = self.run_scenario(PLAIN_SERVICE, [successor], scenario)
         self.assertEqual((503, []), (status, successor.runs))
 
     def test_unreachable_endpoint_is_skipped(self):
         """Guards against failures while another endpoint is available."""
-        endpoints = endpoint_pair(lambda _r: Behaviour(plain=True))
+        endpoints = endpoint_pair(lambda _r: Behaviour(plain_body=True))
 
         async def scenario(harness):
             await endpoints[0].stop()
             return [(await harness.send_request("/book/"))[0] for _ in range(6)]
 
-        self.assertEqual([200] * 6, self.run_scenario(DESK, endpoints, scenario))
+        self.assertEqual(
+            [200] * 6, self.run_scenario(PLAIN_SERVICE, endpoints, scenario)
+        )
--- a/borageworks_emulator/platform/tests/test_unbounded_response.py
+++ b/borageworks_emulator/platform/tests/test_unbounded_response.py
@@ -6,8 +6,8 @@
 import aiohttp
 from testtools import TestCase
 
-from borageworks_emulator.platform.engine import Behaviour, EmulatedEndpoint
-from borageworks_emulator.platform.harness import DESK, ENGINES, Harness
+from borageworks_emulator.platform.endpoint import Behaviour, EmulatedEndpoint
+from borageworks_emulator.platform.harness import ENGINE_SERVICE, PLAIN_SERVICE, Harness
 from borageworks_emulator.platform.unbounded_response import (
     UNBOUNDED_RESPONSES,
     UnboundedResponseEndpoint,
@@ -18,9 +18,9 @@
 # Limit of bytes sent before the abort, including those in socket buffers.
 SENT_LIMIT_BYTES = 24 * 1_048_576
 # Route names and their services.
-PLAIN_ROUTE = ("look", DESK)
-RESUMABLE_ROUTE = ("resume", ENGINES)
-NON_RESUMABLE_ROUTE = ("once", ENGINES)
+PLAIN_ROUTE = ("look", PLAIN_SERVICE)
+RESUMABLE_ROUTE = ("resume", ENGINE_SERVICE)
+NON_RESUMABLE_ROUTE = ("once", ENGINE_SERVICE)
 
 
 def kv_events_failed(harness):
@@ -85,8 +85,8 @@
             return [status for status, _, _ in responses]
 
         for kind in UNBOUNDED_RESPONSES:
-            good = EmulatedEndpoint("good", lambda _request: Behaviour(plain=True))
-            statuses = self.run_scenario(kind, DESK, send_requests, [good])
+            good = EmulatedEndpoint("good", lambda _request: Behaviour(plain_body=True))
+            statuses = self.run_scenario(kind, PLAIN_SERVICE, send_requests, [good])
             self.assertEqual({200}, set(statuses), kind)
 
     def test_unbounded_kv_cache_list_is_aborted(self):
@@ -99,7 +99,7 @@
             await bad.start()
             try:
                 async with Harness({}) as harness:
-                    await harness.store.put("servers/bad", bad.entry(ENGINES))
+                    await harness.store.put("servers/bad", bad.entry(ENGINE_SERVICE))
                     await harness.wait_until_current()
                     async with asyncio.timeout(ABORT_LIMIT_S):
                         while not kv_events_failed(harness):  # noqa: ASYNC110
--- a/borageworks_emulator/platform/unbounded_response.py
+++ b/borageworks_emulator/platform/unbounded_response.py
@@ -7,7 +7,11 @@
 
 import orjson
 
-from borageworks_emulator.platform.engine import REQUEST_ID, SEAL, endpoint_entry
+from borageworks_emulator.platform.endpoint import (
+    ATTEMPT_ID_HEADER,
+    SEAL_HEADER,
+    endpoint_entry,
+)
 
 BLOCK_BYTES = 64 * 1024
 HEADERS_END = b"\r\n\r\n"
@@ -112,10 +116,11 @@
 
     async def _send_response(self, head: bytes, writer: asyncio.StreamWriter) -> None:
         prologue, repeated = UNBOUNDED_RESPONSES[self.kind]
-        request_id = _header(head, REQUEST_ID)
+        request_id = _header(head, ATTEMPT_ID_HEADER)
         identity_lines = (
-            f"{REQUEST_ID}: {request_id}\r\n{SEAL}: seal-of-{self.name}\r\n".encode()
-        )
+            f"{ATTEMPT_ID_HEADER}: {request_id}\r\n"
+            f"{SEAL_HEADER}: seal-of-{self.name}\r\n"
+        ).encode()
         writer.write(prologue.replace(b"{head}", identity_lines))
         while True:
             writer.write(repeated)
--- a/borageworks_emulator/soak/caller.py
+++ b/borageworks_emulator/soak/caller.py
@@ -9,7 +9,7 @@
 
 import aiohttp
 
-from borageworks_emulator.platform.engine import REQUEST_ID, SEAL
+from borageworks_emulator.platform.endpoint import ATTEMPT_ID_HEADER, SEAL_HEADER
 from borageworks_emulator.platform.harness import HOST
 from borageworks_emulator.soak.balancer import Balancer
 from borageworks_emulator.soak.call import Call, Ending
@@ -178,7 +178,10 @@
         if call.ending is Ending.ANSWERED:
             headers = response.headers
             self._checker.check_response(
-                call, headers.get(SEAL, ""), headers.get(REQUEST_ID, ""), body
+                call,
+                headers.get(SEAL_HEADER, ""),
+                headers.get(ATTEMPT_ID_HEADER, ""),
+                body,
             )
 
     def _next_call(self, gateway: str, route: str) -> tuple[Call, dict[str, str]]:
@@ -202,7 +205,7 @@
         )
         headers = {
             "Host": HOST,
-            REQUEST_ID: request_id,
+            ATTEMPT_ID_HEADER: request_id,
             "X-Borageworks-Deadline-Remaining": str(int(REQUEST_TIMEOUT_S * 1000)),
         }
         if route != "open":
--- a/borageworks_emulator/soak/endpoints.py
+++ b/borageworks_emulator/soak/endpoints.py
@@ -8,7 +8,7 @@
 
 from aiohttp import web
 
-from borageworks_emulator.platform.engine import Behaviour, EmulatedEndpoint, Run
+from borageworks_emulator.platform.endpoint import Behaviour, EmulatedEndpoint, Run
 from borageworks_emulator.soak.guarantee_checker import GuaranteeChecker
 
 ENGINE_SLOTS = 8
@@ -46,7 +46,7 @@
     def __init__(
         self, name: str, service: str, engine: bool, checker: GuaranteeChecker
     ) -> None:
-        super().__init__(name, self._behave)
+        super().__init__(name, self._behaviour_of)
         self.service = service
         self.engine = engine
         self.misbehaviour: Misbehaviour = regular
@@ -54,8 +54,8 @@
         self._running: set[int] = set()
         self._cached_parts: set[str] = set()
         self._prefill_free_at = 0.0
-        self.began = self._record_start
-        self.finished = self._record_end
+        self.on_run_started = self._record_start
+        self.on_run_finished = self._record_end
 
     @property
     def slots(self) -> int:
@@ -68,19 +68,23 @@
         self._cached_parts.clear()
         self._prefill_free_at = 0.0
 
-    def _behave(self, request: web.BaseRequest) -> Behaviour:
+    def _behaviour_of(self, request: web.BaseRequest) -> Behaviour:
         if len(self._running) >= self.slots + ENDPOINT_QUEUE_LENGTH:
             return Behaviour(not_run=True)
         if not self.engine:
-            plain = Behaviour(plain=True, named=True, think_s=DESK_RESPONSE_TIME_S)
+            plain = Behaviour(
+                plain_body=True,
+                with_request_id=True,
+                response_delay_s=DESK_RESPONSE_TIME_S,
+            )
             return self.misbehaviour(plain)
         generated = int(request.headers["X-Borageworks-Token-Count"].split(",")[1])
         return self.misbehaviour(
             Behaviour(
-                named=True,
+                with_request_id=True,
                 events=event_count(generated),
-                pause_s=EVENT_INTERVAL_S,
-                think_s=self._prefill_delay_s(
+                event_interval_s=EVENT_INTERVAL_S,
+                response_delay_s=self._prefill_delay_s(
                     request.headers["X-Borageworks-Prompt-Prefix"]
                 ),
             )
@@ -116,7 +120,11 @@
 
 def breaking(behaviour: Behaviour) -> Behaviour:
     """Reset the connection within the second event, or before a plain response."""
-    return replace(behaviour, break_after=0 if behaviour.plain else 1, torn=True)
+    return replace(
+        behaviour,
+        reset_after_events=0 if behaviour.plain_body else 1,
+        ends_mid_event=True,
+    )
 
 
 def hanging(behaviour: Behaviour) -> Behaviour:
@@ -126,7 +134,11 @@
 
 def slow(behaviour: Behaviour) -> Behaviour:
     """Respond and send events with long delays."""
-    return replace(behaviour, think_s=behaviour.think_s + 0.5, pause_s=0.2)
+    return replace(
+        behaviour,
+        response_delay_s=behaviour.response_delay_s + 0.5,
+        event_interval_s=0.2,
+    )
 
 
 def failing(behaviour: Behaviour) -> Behaviour:
--- a/borageworks_emulator/soak/guarantee_checker.py
+++ b/borageworks_emulator/soak/guarantee_checker.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from borageworks_emulator.platform.engine import Run, event_bytes, plain_text
+from borageworks_emulator.platform.endpoint import Run, event_bytes, plain_body_text
 from borageworks_emulator.soak.bounds import (
     CANCELLATION_TOLERANCE_S,
     CLOSE_RACE_TOLERANCE_S,
@@ -95,7 +95,7 @@
             )
             return
         call = request.call
-        request.runs.append((endpoint, run.at))
+        request.runs.append((endpoint, run.started_at))
         if call.route in NON_IDEMPOTENT_ROUTES and len(request.runs) > 1:
             self.report(
                 Guarantee.AT_MOST_ONCE, f"{_describe(call)} ran at {request.runs}"
@@ -126,16 +126,16 @@
         draining_at = self._draining.get(endpoint)
         if (
             draining_at is not None
-            and run.at > draining_at + DRAIN_BOUND_S
-            and self._undisturbed(call.gateway, call.sent_at, run.at)
+            and run.started_at > draining_at + DRAIN_BOUND_S
+            and self._undisturbed(call.gateway, call.sent_at, run.started_at)
             and self._disturbances.undisturbed(
-                STORE, draining_at - CONTACT_BOUND_S, run.at
+                STORE, draining_at - CONTACT_BOUND_S, run.started_at
             )
         ):
             self.report(
                 Guarantee.LEAVING_ENDPOINT,
-                f"{_describe(call)} reached {endpoint} {run.at - draining_at:.2f} s "
-                f"after it started draining",
+                f"{_describe(call)} reached {endpoint} "
+                f"{run.started_at - draining_at:.2f} s after it started draining",
             )
 
     def run_finished(self, endpoint: str, run: Run) -> None:
@@ -184,7 +184,7 @@
         if call.events:
             expected = stream_bytes(call)
         else:
-            expected = plain_text(seal.removeprefix("seal-of-"), call.id).encode()
+            expected = plain_body_text(seal.removeprefix("seal-of-"), call.id).encode()
         if body != expected:
             self.report(
                 Guarantee.OWN_ANSWER,
--- a/borageworks_emulator/soak/operator.py
+++ b/borageworks_emulator/soak/operator.py
@@ -10,8 +10,8 @@
 import aiohttp
 import orjson
 
-from borageworks_emulator.platform.engine import REQUEST_ID
-from borageworks_emulator.platform.harness import HOST, KEY, configuration
+from borageworks_emulator.platform.endpoint import ATTEMPT_ID_HEADER
+from borageworks_emulator.platform.harness import API_KEY, HOST, configuration
 from borageworks_emulator.platform.store import EmulatedPlatformStore
 from borageworks_emulator.soak.configuration_checker import (
     MARKER_ROUTE_COUNT,
@@ -61,7 +61,7 @@
         tenants = [
             {"name": name, "api_keys": [key]} for name, key in self._keys.items()
         ]
-        tenants.append({"name": "operator", "api_keys": [KEY]})
+        tenants.append({"name": "operator", "api_keys": [API_KEY]})
         document = configuration(version, tenants=tenants)
         template = next(item for item in document["routes"] if item["name"] == "look")
         marker = self._checker.marker_route(version)
@@ -84,8 +84,8 @@
                 request_id = f"{PROBE_PREFIX}{gateway.name}-{incarnation}-{probe_count}"
                 headers = {
                     "Host": HOST,
-                    "Authorization": f"Token {KEY}",
-                    REQUEST_ID: request_id,
+                    "Authorization": f"Token {API_KEY}",
+                    ATTEMPT_ID_HEADER: request_id,
                 }
                 try:
                     # Only 200 and 404 show whether the route exists: without a
--- a/borageworks_emulator/soak/soak.py
+++ b/borageworks_emulator/soak/soak.py
@@ -11,7 +11,7 @@
 import aiohttp
 import orjson
 
-from borageworks_emulator.platform.harness import DESK, ENGINES
+from borageworks_emulator.platform.harness import ENGINE_SERVICE, PLAIN_SERVICE
 from borageworks_emulator.platform.store import EmulatedPlatformStore
 from borageworks_emulator.ports import HOST
 from borageworks_emulator.soak.balancer import Balancer
@@ -70,8 +70,14 @@
             for i in range(settings.gateways)
         }
         self._endpoints = [
-            *(self._endpoint(f"engine-{i}", ENGINES) for i in range(settings.engines)),
-            *(self._endpoint(f"desk-{i}", DESK) for i in range(settings.desks)),
+            *(
+                self._endpoint(f"engine-{i}", ENGINE_SERVICE)
+                for i in range(settings.engines)
+            ),
+            *(
+                self._endpoint(f"desk-{i}", PLAIN_SERVICE)
+                for i in range(settings.desks)
+            ),
         ]
         self._paths = [endpoint.name for endpoint in self._endpoints]
         self._keys = {f"org-{i}": f"secret-{i}" for i in range(settings.organisations)}
@@ -102,7 +108,7 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     def _endpoint(self, name: str, service: str) -> SoakEndpoint:
-        return SoakEndpoint(name, service, service == ENGINES, self._checker)
+        return SoakEndpoint(name, service, service == ENGINE_SERVICE, self._checker)
 
     def plan(self) -> list[PlannedFault]:
         """Return the faults drawn from the seed."""
--- a/borageworks_emulator/soak/tests/test_checkers.py
+++ b/borageworks_emulator/soak/tests/test_checkers.py
@@ -5,7 +5,7 @@
 
 from testtools import TestCase
 
-from borageworks_emulator.platform.engine import plain_text
+from borageworks_emulator.platform.endpoint import plain_body_text
 from borageworks_emulator.soak.bounds import (
     CANCELLATION_TOLERANCE_S,
     CONFIGURATION_APPLY_BOUND_S,
@@ -44,7 +44,7 @@
             target=call.target,
             body=call.body,
             headers={"X-Borageworks-Tenant": call.organisation},
-            at=self.time,
+            started_at=self.time,
         )
         for name, value in changes.items():
             setattr(run, name, value)
@@ -67,7 +67,7 @@
         call = self.send_call()
         self.start_run(call)
         self.end_call(call, Ending.ANSWERED, 200)
-        body = plain_text("desk", call.id).encode()
+        body = plain_body_text("desk", call.id).encode()
         self.checker.check_response(call, "seal-of-desk", call.id, body)
         self.assert_violations()
 
