--- a/borageworks/commands/soak.py
+++ b/borageworks/commands/soak.py
@@ -16,8 +16,8 @@
 from borageworks.commands.loop import run_loop
 from borageworks_emulator.soak.regressions import REGRESSIONS
 from borageworks_emulator.soak.report import SoakReport
+from borageworks_emulator.soak.runner import Soak
 from borageworks_emulator.soak.settings import SoakSettings
-from borageworks_emulator.soak.soak import Soak
 
 SECONDS_PER_MINUTE = 60.0
 SEED_LIMIT = 1_000_000
--- a/borageworks_emulator/soak/endpoints.py
+++ b/borageworks_emulator/soak/endpoints.py
@@ -16,8 +16,8 @@
 ENDPOINT_QUEUE_LENGTH = 8
 PREFILL_TOKENS_PER_S = 5_000.0
 EVENT_INTERVAL_S = 0.02
-DESK_RESPONSE_TIME_S = 0.02
-DESK_SLOTS = 8
+PLAIN_RESPONSE_TIME_S = 0.02
+PLAIN_SLOTS = 8
 
 
 Misbehaviour = Callable[[Behaviour], Behaviour]
@@ -60,7 +60,7 @@
     @property
     def slots(self) -> int:
         """Number of requests that it runs concurrently."""
-        return ENGINE_SLOTS if self.engine else DESK_SLOTS
+        return ENGINE_SLOTS if self.engine else PLAIN_SLOTS
 
     def restart_as(self, name: str) -> None:
         """Become a new incarnation with an empty prompt cache."""
@@ -75,7 +75,7 @@
             plain = Behaviour(
                 plain_body=True,
                 with_request_id=True,
-                response_delay_s=DESK_RESPONSE_TIME_S,
+                response_delay_s=PLAIN_RESPONSE_TIME_S,
             )
             return self.misbehaviour(plain)
         generated = int(request.headers["X-Borageworks-Token-Count"].split(",")[1])
--- a/borageworks_emulator/soak/soak.py
+++ b/borageworks_emulator/soak/runner.py
@@ -76,7 +76,7 @@
             ),
             *(
                 self._endpoint(f"desk-{i}", PLAIN_SERVICE)
-                for i in range(settings.desks)
+                for i in range(settings.plain_endpoints)
             ),
         ]
         self._paths = [endpoint.name for endpoint in self._endpoints]
--- a/borageworks_emulator/soak/settings.py
+++ b/borageworks_emulator/soak/settings.py
@@ -18,7 +18,7 @@
         Duration of the phase with faults; recovery and a flood follow.
     directory
         Directory of the gateways' settings files and output.
-    gateways, engines, desks
+    gateways, engines, plain_endpoints
         Number of gateway processes, model engines, and endpoints of the plain service.
     organisations, callers_per_organisation
         Number of organisations, and of callers of each.
@@ -33,7 +33,7 @@
     directory: Path
     gateways: int = 5
     engines: int = 3
-    desks: int = 2
+    plain_endpoints: int = 2
     organisations: int = 5
     callers_per_organisation: int = 4
     flood_callers: int = 24
