--- a/borageworks/commands/demo.py
+++ b/borageworks/commands/demo.py
@@ -73,17 +73,20 @@
     flows = []
     for name in topology.shares:
         flows.append(Flow(name, topology.model, topology.engine_pool, rate=1.0))
-        for service, keyed in ((topology.protected, True), (topology.status, False)):
+        for service, with_idempotency_key in (
+            (topology.non_idempotent_service, True),
+            (topology.idempotent_service, False),
+        ):
             flows.append(
                 Flow(
                     name,
                     service,
-                    topology.plain_pool,
+                    topology.service_pool,
                     engine=False,
                     rate=1.0,
-                    mean=50.0,
-                    largest=500.0,
-                    keyed=keyed,
+                    length_mean=50.0,
+                    length_max=500.0,
+                    with_idempotency_key=with_idempotency_key,
                 )
             )
     slots = topology.slots(topology.engine_pool)
@@ -150,13 +153,13 @@
             progress.cancel()
             with suppress(asyncio.CancelledError):
                 await progress
-        elapsed_s = time.monotonic() - load.began
+        elapsed_s = time.monotonic() - load.started_at
         store_calls = (store.calls.total() - calls_before) / elapsed_s
         control = (
             (await _control_bytes(session, urls) - bytes_before) / elapsed_s / len(urls)
         )
     recordings = [endpoint.recording for endpoint in endpoints]
-    measures = analyse(recordings, load.calls, DEMO.shares, load.until)
+    measures = analyse(recordings, load.calls, DEMO.shares, load.ends_at)
     result = Result("demo", DEMO.name, SEED, ROUTER_COUNT, duration, measures)
     result.control_bytes_per_second = control
     result.store_calls_per_second = store_calls
--- a/borageworks/commands/measure.py
+++ b/borageworks/commands/measure.py
@@ -12,9 +12,9 @@
 
 from borageworks.commands.loop import run_loop
 from borageworks_emulator.report import Result
-from borageworks_emulator.scenario import Options, median_checks, run_scenario
+from borageworks_emulator.scenario import RunOptions, median_checks, run_scenario
 from borageworks_emulator.scenarios import SCENARIOS
-from borageworks_emulator.slopes import measure_slopes, render
+from borageworks_emulator.slopes import measure_slopes, render_rows
 from borageworks_emulator.topology import PATITSA, TOPOLOGIES
 
 EXIT_TARGET_MISSED = 1
@@ -81,7 +81,9 @@
         return
     results = []
     for run_seed in range(seed, seed + repeat):
-        options = Options(TOPOLOGIES[topology], run_seed, routers, duration, directory)
+        options = RunOptions(
+            TOPOLOGIES[topology], run_seed, routers, duration, directory
+        )
         results.append(run_loop(_run(name, options)))
         click.echo(
             results[-1].table(options.topology.shares) + "\n", err=bool(json_file)
@@ -108,7 +110,7 @@
         seed, lambda name: click.echo(f"measuring {name}", err=True)
     )
     for name, rows in slopes.items():
-        click.echo("\n".join(["", name, *render(rows)]), err=json_file is not None)
+        click.echo("\n".join(["", name, *render_rows(rows)]), err=json_file is not None)
     encoded = orjson.dumps(slopes, option=orjson.OPT_INDENT_2)
     if json_file is not None and str(json_file) == "-":
         click.echo(encoded)
@@ -116,7 +118,7 @@
         json_file.write_bytes(encoded)
 
 
-async def _run(name: str, options: Options) -> Result:
+async def _run(name: str, options: RunOptions) -> Result:
     """Run a scenario; SIGTERM cancels it, so that started routers are stopped."""
     task = asyncio.ensure_future(run_scenario(SCENARIOS[name], options))
     asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
--- a/borageworks_emulator/analysis.py
+++ b/borageworks_emulator/analysis.py
@@ -28,8 +28,9 @@
 class CallRecord:
     """One attempt as its caller saw it; times are seconds of the monotonic clock.
 
-    `tag` identifies the request in its trace, `attempt` counts resends, `target` is the
-    index of the router, and `request_id` is the id that the router gave the attempt.
+    `tag` identifies the request in its trace, `attempt` counts resends, `router_index`
+    is the index of the router, and `request_id` is the id that the router gave the
+    attempt.
     """
 
     tag: str
@@ -44,7 +45,7 @@
     ran: str = ""
     request_id: str = ""
     attempt: int = 0
-    target: int = 0
+    router_index: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -59,16 +60,19 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Excuse:
+class RouterKill:
     """Time span in which calls to one router may fail because it was killed."""
 
-    target: int
+    router_index: int
     since: float
     until: float
 
-    def covers(self, call: CallRecord) -> bool:
+    def explains(self, call: CallRecord) -> bool:
         """Whether the call ended at this router within the span."""
-        return call.target == self.target and self.since <= call.end <= self.until
+        return (
+            call.router_index == self.router_index
+            and self.since <= call.end <= self.until
+        )
 
 
 @dataclass(slots=True)
@@ -238,13 +242,13 @@
     calls: Sequence[CallRecord],
     shares: Mapping[str, float],
     until: float,
-    excused: Sequence[Excuse] = (),
+    router_kills: Sequence[RouterKill] = (),
 ) -> Measures:
     """Compute all measures of one load run.
 
     Parameters
     ----------
-    excused
+    router_kills
         Spans in which a router was killed; calls lost in them count separately.
     until
         Time at which the load ended, in seconds; later bins do not count,
@@ -256,7 +260,7 @@
     for run in runs:
         if run.started is not None and run.tag:
             first_starts[run.tag] = min(first_starts.get(run.tag, inf), run.started)
-    _count_verdicts(measures, calls, first_starts, excused)
+    _count_verdicts(measures, calls, first_starts, router_kills)
     measures.false_not_run = _count_false_not_run(calls, runs)
     measures.doubled = count_repeated_keys(runs)
     answered_tags = {call.tag for call in calls if call.verdict is Verdict.ANSWERED}
@@ -311,13 +315,13 @@
     measures: Measures,
     calls: Sequence[CallRecord],
     first_starts: Mapping[str, float],
-    excused: Sequence[Excuse],
+    router_kills: Sequence[RouterKill],
 ) -> None:
     waits: defaultdict[str, list[float]] = defaultdict(list)
     refusals: Counter[str] = Counter()
     for call in calls:
         connection_broken = call.verdict in (Verdict.LOST, Verdict.INCOMPLETE)
-        if connection_broken and any(excuse.covers(call) for excuse in excused):
+        if connection_broken and any(kill.explains(call) for kill in router_kills):
             measures.excused += 1
             continue
         match call.verdict:
--- a/borageworks_emulator/baseline.py
+++ b/borageworks_emulator/baseline.py
@@ -47,5 +47,5 @@
         for endpoint in endpoints:
             await endpoint.stop()
     recordings = [endpoint.recording for endpoint in endpoints]
-    measures = analyse(recordings, load.calls, topology.shares, load.until)
+    measures = analyse(recordings, load.calls, topology.shares, load.ends_at)
     return BaselineRun(measures, load, endpoints)
--- a/borageworks_emulator/endpoint.py
+++ b/borageworks_emulator/endpoint.py
@@ -99,7 +99,7 @@
         if self._down or self._runner is None:
             return
         self._down = True
-        self.faults.note("crash")
+        self.faults.count_applied("crash")
         self.spawn(self._crash_and_restart())
 
     def spawn(self, coroutine: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
@@ -128,7 +128,7 @@
     def _fault_due(self, interval: int, number: int, fault: str) -> bool:
         if interval <= 0 or number % interval:
             return False
-        self.faults.note(fault)
+        self.faults.count_applied(fault)
         return True
 
     async def _exchange_response(self, response: T) -> T:
@@ -140,7 +140,7 @@
             self._pending_exchange = None
             if not future.done():
                 self.faults.crossed -= 1
-                self.faults.note("crossed")
+                self.faults.count_applied("crossed")
                 future.set_result(response)
                 return other  # type: ignore[return-value]
         future = asyncio.get_running_loop().create_future()
--- a/borageworks_emulator/engine.py
+++ b/borageworks_emulator/engine.py
@@ -332,8 +332,8 @@
         served_job = job
         try:
             served_job = await self._exchange_response(job)
-            if self._fault_due(self.faults.late_every, number, "late"):
-                await asyncio.sleep(self.faults.late_s)
+            if self._fault_due(self.faults.delay_every, number, "late"):
+                await asyncio.sleep(self.faults.delay_s)
             if self._fault_due(self.faults.garbage_every, number, "garbage"):
                 return web.Response(
                     body=b"\x00\xff{not an answer",
@@ -432,7 +432,7 @@
         self, request: web.Request, response: web.StreamResponse, job: _Job
     ) -> web.StreamResponse:
         """Close the connection before the stream's end marker."""
-        self.faults.note("cut")
+        self.faults.count_applied("cut")
         self.recording.record_end(job.run, RunOutcome.CUT)
         if request.transport is not None:
             request.transport.close()
--- a/borageworks_emulator/faults.py
+++ b/borageworks_emulator/faults.py
@@ -18,7 +18,7 @@
         A request whose body contains it crashes the endpoint; empty disables this.
     down_s : float
         Seconds for which the endpoint refuses connections after a crash.
-    late_every, late_s
+    delay_every, delay_s
         Which responses are delayed after the run, and by how many seconds.
     crossed : int
         Number of pairs of requests whose responses are still to be swapped.
@@ -38,8 +38,8 @@
 
     crash_marker: bytes = b""
     down_s: float = 2.0
-    late_every: int = 0
-    late_s: float = 5.0
+    delay_every: int = 0
+    delay_s: float = 5.0
     crossed: int = 0
     cut_every: int = 0
     cut_chunks: int = 3
@@ -49,6 +49,6 @@
     slowdown: float = 1.0
     applied: dict[str, int] = field(default_factory=dict)
 
-    def note(self, fault: str) -> None:
+    def count_applied(self, fault: str) -> None:
         """Count one application of a fault."""
         self.applied[fault] = self.applied.get(fault, 0) + 1
--- a/borageworks_emulator/fleet.py
+++ b/borageworks_emulator/fleet.py
@@ -112,7 +112,7 @@
 
     async def stop(self) -> None:
         """Kill every router and close the session."""
-        await asyncio.gather(*(router.end() for router in self.routers))
+        await asyncio.gather(*(router.kill() for router in self.routers))
         if self._session is not None:
             await self._session.close()
 
--- a/borageworks_emulator/load.py
+++ b/borageworks_emulator/load.py
@@ -46,14 +46,14 @@
     workers
         Number of callers that send a request when the previous one ended (closed
         loop).
-    mean, sigma, largest
+    length_mean, length_sigma, length_max
         Mean, log standard deviation and upper limit of the lognormal response length in
         tokens, or of the run duration of a plain service in milliseconds.
-    prompt_words
+    mean_prompt_words
         Mean prompt length in words.
-    router
+    router_index
         Index of the only router that the flow uses; None for all routers.
-    keyed
+    with_idempotency_key
         Whether requests carry an Idempotency-Key.
     resends, resend_after_s
         Number of times that each request is sent again with the same key, and the
@@ -63,7 +63,7 @@
         the end of the load.
     marker
         Text in each body that can trigger a fault.
-    limit
+    max_requests
         Maximum number of requests of each worker; 0 is unlimited.
     """
 
@@ -73,18 +73,18 @@
     engine: bool = True
     rate: float = 0.0
     workers: int = 0
-    mean: float = 8.0
-    sigma: float = 1.0
-    largest: float = 400.0
-    prompt_words: float = 24.0
-    router: int | None = None
-    keyed: bool = False
+    length_mean: float = 8.0
+    length_sigma: float = 1.0
+    length_max: float = 400.0
+    mean_prompt_words: float = 24.0
+    router_index: int | None = None
+    with_idempotency_key: bool = False
     resends: int = 0
     resend_after_s: float = 0.5
     start_s: float = 0.0
     end_s: float = 0.0
     marker: str = ""
-    limit: int = 0
+    max_requests: int = 0
 
 
 @dataclass(frozen=True, slots=True)
@@ -139,7 +139,7 @@
         flow = self.flows[flow_index]
         rng = random.Random(f"{self.seed}/{flow_index}/{worker_index}")
         index = 0
-        while not flow.limit or index < flow.limit:
+        while not flow.max_requests or index < flow.max_requests:
             yield self._plan_request(
                 f"{flow_index}.{worker_index}.{index}", flow, 0.0, rng
             )
@@ -163,8 +163,10 @@
     def _plan_request(
         self, tag: str, flow: Flow, at: float, rng: random.Random
     ) -> PlannedRequest:
-        log_mean = math.log(flow.mean) - flow.sigma**2 / 2
-        length = min(max(rng.lognormvariate(log_mean, flow.sigma), 1.0), flow.largest)
+        log_mean = math.log(flow.length_mean) - flow.length_sigma**2 / 2
+        length = min(
+            max(rng.lognormvariate(log_mean, flow.length_sigma), 1.0), flow.length_max
+        )
         body: dict[str, Any]
         if flow.engine:
             body = self._chat_body(tag, flow, max(1, round(length)), rng)
@@ -180,11 +182,11 @@
     ) -> dict[str, Any]:
         # All requests of an organisation share a system prompt, which can be cached.
         system_prompt = " ".join([flow.organisation, *(VOCABULARY * 3)])
-        word_count = max(1, round(rng.expovariate(1 / flow.prompt_words)))
+        word_count = max(1, round(rng.expovariate(1 / flow.mean_prompt_words)))
         prompt = " ".join(rng.choices(VOCABULARY, k=min(word_count, 2000)))
         return {
             "model": flow.service,
-            "max_tokens": int(flow.largest),
+            "max_tokens": int(flow.length_max),
             "stream": rng.random() < 0.5,
             "user": flow.organisation,
             "metadata": {"trace": tag},
@@ -205,14 +207,14 @@
         self.urls = list(urls)
         self._available = [True] * len(urls)
 
-    def set_up(self, index: int, available: bool) -> None:
+    def set_available(self, index: int, available: bool) -> None:
         """Remove a router from the rotation, or add it again."""
         self._available[index] = available
 
     def choose(self, planned: PlannedRequest, attempt: int) -> int:
         """Return a router's index; resends go to another router if there is one."""
         router_count = len(self.urls)
-        fixed_router = planned.flow.router
+        fixed_router = planned.flow.router_index
         first_index = (
             planned.router_choice if fixed_router is None else fixed_router
         ) + attempt
@@ -227,8 +229,8 @@
 class LoadResult:
     """Calls of one load run, with its start and end on the monotonic clock."""
 
-    began: float
-    until: float
+    started_at: float
+    ends_at: float
     calls: list[CallRecord] = field(default_factory=list)
 
 
@@ -253,17 +255,17 @@
         async with aiohttp.ClientSession(
             connector=connector, timeout=timeout, cookie_jar=aiohttp.DummyCookieJar()
         ) as self._session:
-            began = time.monotonic()
-            self.result = LoadResult(began, began + self._trace.duration_s)
+            started_at = time.monotonic()
+            self.result = LoadResult(started_at, started_at + self._trace.duration_s)
             for flow_index, flow in enumerate(self._trace.flows):
                 for worker_index in range(flow.workers):
                     self._spawn(self._run_worker(flow_index, worker_index))
             for planned in self._trace.open_loop:
-                delay = began + planned.at - time.monotonic()
+                delay = started_at + planned.at - time.monotonic()
                 if delay > 0:
                     await asyncio.sleep(delay)
                 self._spawn(self._send_request(planned))
-            await asyncio.sleep(max(0.0, self.result.until - time.monotonic()))
+            await asyncio.sleep(max(0.0, self.result.ends_at - time.monotonic()))
             await self._drain()
         return self.result
 
@@ -282,9 +284,9 @@
 
     async def _run_worker(self, flow_index: int, worker_index: int) -> None:
         flow = self._trace.flows[flow_index]
-        end = self.result.until
+        end = self.result.ends_at
         if flow.end_s:
-            end = min(end, self.result.began + flow.end_s)
+            end = min(end, self.result.started_at + flow.end_s)
         await asyncio.sleep(
             flow.start_s + WORKER_RAMP_UP_S * worker_index / flow.workers
         )
@@ -298,7 +300,11 @@
                 await asyncio.sleep(0.1)
 
     async def _send_request(self, planned: PlannedRequest) -> bool:
-        key = f"{int(time.time())}-{planned.tag}" if planned.flow.keyed else ""
+        key = (
+            f"{int(time.time())}-{planned.tag}"
+            if planned.flow.with_idempotency_key
+            else ""
+        )
         if not planned.flow.resends:
             return await self._send_attempt(planned, key, 0)
         attempts = [
@@ -322,7 +328,7 @@
         call = CallRecord(
             planned.tag, flow.organisation, flow.pool, key, time.monotonic()
         )
-        call.attempt, call.target = attempt, router_index
+        call.attempt, call.router_index = attempt, router_index
         self.result.calls.append(call)
         headers = {
             "Authorization": f"Bearer {api_key(flow.organisation)}",
--- a/borageworks_emulator/lag.py
+++ b/borageworks_emulator/loop_lag.py
@@ -38,7 +38,7 @@
         with suppress(asyncio.CancelledError):
             await self._task
 
-    def quantile(self, percent: float) -> float:
+    def percentile(self, percent: float) -> float:
         """Return a percentile of the loop lag in seconds, 0.0 without samples."""
         if not self._lags_s:
             return 0.0
--- a/borageworks_emulator/platform/tests/test_entry_overload.py
+++ b/borageworks_emulator/platform/tests/test_entry_overload.py
@@ -66,7 +66,7 @@
 
     async def __aexit__(self, *_):
         await self.session.close()
-        await self.gateway.end()
+        await self.gateway.kill()
         for endpoint in self.endpoints:
             await endpoint.stop()
         await self.store.stop()
@@ -110,7 +110,7 @@
         await asyncio.sleep(WARM_UP_S)
         return await measurement
     finally:
-        await flood.end()
+        await flood.kill()
 
 
 class EntryOverloadTest(TestCase):
--- a/borageworks_emulator/process.py
+++ b/borageworks_emulator/process.py
@@ -85,7 +85,7 @@
             if any(pattern in line for pattern in INTERNAL_ERROR_PATTERNS)
         ]
 
-    def send(self, number: signal.Signals) -> None:
+    def send_signal(self, number: signal.Signals) -> None:
         """Send a signal to the process if it is running."""
         if self._process is not None and self.alive:
             self._process.send_signal(number)
@@ -102,12 +102,12 @@
         async with asyncio.timeout(timeout_s):
             return await self._process.wait()
 
-    async def end(self) -> None:
+    async def kill(self) -> None:
         """Kill the process, also if it is stopped by a signal."""
         if not self.alive:
             return
-        self.send(signal.SIGCONT)
-        self.send(signal.SIGKILL)
+        self.send_signal(signal.SIGCONT)
+        self.send_signal(signal.SIGKILL)
         await self.wait_exit(KILL_TIMEOUT_S)
 
 
--- a/borageworks_emulator/scenario.py
+++ b/borageworks_emulator/scenario.py
@@ -20,7 +20,7 @@
 from borageworks.config.settings import FairSettings
 from borageworks.fair.gap_bound import gap_bound
 from borageworks_emulator import targets
-from borageworks_emulator.analysis import Excuse, Gap, Measures, analyse
+from borageworks_emulator.analysis import Gap, Measures, RouterKill, analyse
 from borageworks_emulator.baseline import run_central
 from borageworks_emulator.fleet import (
     Fleet,
@@ -29,8 +29,8 @@
     max_rate,
     router_settings,
 )
-from borageworks_emulator.lag import LoopLag
 from borageworks_emulator.load import Balancer, Flow, LoadGenerator, LoadResult, Trace
+from borageworks_emulator.loop_lag import LoopLag
 from borageworks_emulator.probe import RouterNotReadyError
 from borageworks_emulator.report import Check, Result
 from borageworks_emulator.store import EmulatedStore
@@ -42,7 +42,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Options:
+class RunOptions:
     """Options of a run; without `directory`, a temporary one is used."""
 
     topology: Topology
@@ -53,14 +53,14 @@
 
 
 @dataclass(slots=True)
-class Stage:
+class ScenarioRun:
     """Running emulation that the faults of a scenario act on.
 
     Attributes
     ----------
-    began
+    load_started_at
         Start of the load in monotonic time.
-    excused
+    router_kills
         Periods in which calls to a killed router may fail.
     notes
         Measurements made by the scenario itself.
@@ -68,23 +68,23 @@
         Number of faults applied outside the endpoints, by name.
     """
 
-    options: Options
+    options: RunOptions
     endpoints: list[AnyEndpoint]
     fleet: Fleet
     balancer: Balancer
     store: EmulatedStore
-    began: float = 0.0
-    excused: list[Excuse] = field(default_factory=list)
+    load_started_at: float = 0.0
+    router_kills: list[RouterKill] = field(default_factory=list)
     notes: dict[str, float] = field(default_factory=dict)
     applied: Counter[str] = field(default_factory=Counter)
 
-    async def until(self, fraction: float) -> None:
+    async def sleep_until_fraction(self, fraction: float) -> None:
         """Sleep until this fraction of the load's duration has passed."""
-        at = self.began + fraction * self.options.duration_s
+        at = self.load_started_at + fraction * self.options.duration_s
         await asyncio.sleep(max(0.0, at - time.monotonic()))
 
 
-async def _no_faults(stage: Stage) -> None:
+async def _no_faults(scenario_run: ScenarioRun) -> None:
     """Apply no faults to the fleet."""
 
 
@@ -109,12 +109,12 @@
         faults have ended.
     endpoint_faults
         Applies the faults that the baseline's endpoints share: changes of speed.
-    compared
+    compared_with_baseline
         Whether fairness gap and utilisation are compared with the baseline. This needs
         a load that keeps some organisations backlogged.
     checks
         Returns the checks of this scenario beside the common ones.
-    may_refuse
+    allowed_refusals
         Codes of refusals that are expected in this scenario.
     overrides
         Settings sections, by name, that replace the defaults of the routers.
@@ -123,17 +123,17 @@
     name: str
     description: str
     flows: Callable[[Topology, int], list[Flow]]
-    faults: Callable[[Stage], Awaitable[None]] = _no_faults
+    faults: Callable[[ScenarioRun], Awaitable[None]] = _no_faults
     endpoint_faults: Callable[[list[AnyEndpoint], float], Awaitable[None]] = (
         _no_endpoint_faults
     )
-    compared: bool = False
+    compared_with_baseline: bool = False
     checks: Callable[[Result, LoadResult], list[Check]] = _no_checks
-    may_refuse: frozenset[str] = frozenset()
+    allowed_refusals: frozenset[str] = frozenset()
     overrides: Mapping[str, Any] = field(default_factory=dict)
 
 
-async def run_scenario(scenario: Scenario, options: Options) -> Result:
+async def run_scenario(scenario: Scenario, options: RunOptions) -> Result:
     """Run baseline and fleet, and check the result against the targets."""
     topology = options.topology
     trace = Trace(
@@ -156,7 +156,7 @@
     async with LoopLag() as lag:
         central = await run_central(topology, trace, central_faults)
     result.central = central.measures
-    result.emulator_lag_ms["central"] = 1000 * lag.quantile(99)
+    result.emulator_lag_ms["central"] = 1000 * lag.percentile(99)
     with contextlib.ExitStack() as stack:
         directory = options.directory
         if directory is None:
@@ -171,7 +171,7 @@
 
 async def _run_fleet(
     scenario: Scenario,
-    options: Options,
+    options: RunOptions,
     trace: Trace,
     result: Result,
     directory: Path,
@@ -192,14 +192,16 @@
         await fleet.start()
         await fleet.apply(topology.ticket(endpoints))
         await fleet.wait_ready()
-        stage = Stage(options, endpoints, fleet, Balancer(fleet.urls), store)
-        await _measure_idle(stage, result)
+        scenario_run = ScenarioRun(
+            options, endpoints, fleet, Balancer(fleet.urls), store
+        )
+        await _measure_idle(scenario_run, result)
         _print_progress(
             f"{scenario.name}: running the load for {options.duration_s:g} s"
         )
         async with LoopLag() as lag:
-            load = await _load(scenario, stage, trace, result)
-        result.emulator_lag_ms["fleet"] = 1000 * lag.quantile(99)
+            load = await _load(scenario, scenario_run, trace, result)
+        result.emulator_lag_ms["fleet"] = 1000 * lag.percentile(99)
     finally:
         if fleet is not None:
             await fleet.stop()
@@ -208,48 +210,54 @@
         await store.stop()
     recordings = [endpoint.recording for endpoint in endpoints]
     result.measures = analyse(
-        recordings, load.calls, topology.shares, load.until, stage.excused
+        recordings, load.calls, topology.shares, load.ends_at, scenario_run.router_kills
     )
-    faults = Counter(stage.applied)
+    faults = Counter(scenario_run.applied)
     for endpoint in endpoints:
         faults.update(endpoint.faults.applied)
     result.faults = dict(sorted(faults.items()))
-    result.notes.update(stage.notes)
+    result.notes.update(scenario_run.notes)
     return load
 
 
-async def _measure_idle(stage: Stage, result: Result) -> None:
+async def _measure_idle(scenario_run: ScenarioRun, result: Result) -> None:
     """Measure CPU time and store calls of the fleet without requests."""
     await asyncio.sleep(SETTLE_S)
-    before, calls_before = await stage.fleet.sample(), Counter(stage.store.calls)
+    before, calls_before = (
+        await scenario_run.fleet.sample(),
+        Counter(scenario_run.store.calls),
+    )
     await asyncio.sleep(IDLE_MEASUREMENT_S)
-    after = await stage.fleet.sample()
+    after = await scenario_run.fleet.sample()
     cpu = max_rate(before, after, "cpu_s")
     result.idle_cpu_percent = None if cpu is None else 100 * cpu
-    store_calls = Counter(stage.store.calls) - calls_before
+    store_calls = Counter(scenario_run.store.calls) - calls_before
     result.notes["idle_store_calls_per_second"] = (
         store_calls.total() / IDLE_MEASUREMENT_S
     )
 
 
 async def _load(
-    scenario: Scenario, stage: Stage, trace: Trace, result: Result
+    scenario: Scenario, scenario_run: ScenarioRun, trace: Trace, result: Result
 ) -> LoadResult:
-    generator = LoadGenerator(trace, stage.balancer)
-    before, calls_before = await stage.fleet.sample(), Counter(stage.store.calls)
-    stage.began = time.monotonic()
-    faults = asyncio.ensure_future(scenario.faults(stage))
-    sampler = asyncio.create_task(_sample_at_load_end(stage))
+    generator = LoadGenerator(trace, scenario_run.balancer)
+    before, calls_before = (
+        await scenario_run.fleet.sample(),
+        Counter(scenario_run.store.calls),
+    )
+    scenario_run.load_started_at = time.monotonic()
+    faults = asyncio.ensure_future(scenario.faults(scenario_run))
+    sampler = asyncio.create_task(_sample_at_load_end(scenario_run))
     try:
         load = await generator.run()
         after = await sampler
-        store_calls = Counter(stage.store.calls) - calls_before
+        store_calls = Counter(scenario_run.store.calls) - calls_before
         result.store_calls = dict(sorted(store_calls.items()))
         result.store_calls_per_second = store_calls.total() / (
-            time.monotonic() - stage.began
+            time.monotonic() - scenario_run.load_started_at
         )
         await _await_faults(faults, result)
-        _record_router_failures(stage, result)
+        _record_router_failures(scenario_run, result)
     finally:
         for task in (faults, sampler):
             task.cancel()
@@ -273,9 +281,9 @@
         result.failures.append(f"{type(error).__name__}: {error}")
 
 
-def _record_router_failures(stage: Stage, result: Result) -> None:
+def _record_router_failures(scenario_run: ScenarioRun, result: Result) -> None:
     """Record routers that exited unexpectedly or logged internal errors."""
-    for router in stage.fleet.routers:
+    for router in scenario_run.fleet.routers:
         name = router.settings.instance
         if not router.alive:
             result.failures.append(f"{name} exited: {router.output_tail()}")
@@ -284,48 +292,50 @@
             result.failures.append(f"{name} logged internal errors: {errors[0]}")
 
 
-async def _sample_at_load_end(stage: Stage) -> FleetSample:
+async def _sample_at_load_end(scenario_run: ScenarioRun) -> FleetSample:
     """Sample the counters when the load ends, before the drain."""
-    await stage.until(1.0)
-    return await stage.fleet.sample()
+    await scenario_run.sleep_until_fraction(1.0)
+    return await scenario_run.fleet.sample()
 
 
-def common_checks(scenario: Scenario, options: Options, result: Result) -> list[Check]:
+def common_checks(
+    scenario: Scenario, options: RunOptions, result: Result
+) -> list[Check]:
     """Check a result against the targets that are common to all scenarios."""
     measures, central = result.measures, result.central or Measures()
     checks = [
-        at_most(name, getattr(measures, name), 0)
+        max_check(name, getattr(measures, name), 0)
         for name in ("wrong", "lost", "incomplete", "doubled", "false_not_run", "cut")
     ]
     unexpected = sum(
         count
         for code, count in measures.refusals.items()
-        if code not in scenario.may_refuse
+        if code not in scenario.allowed_refusals
     )
-    checks.append(at_most("refusals that the scenario does not allow", unexpected, 0))
-    checks.append(at_most("failures of the run itself", len(result.failures), 0))
-    checks.append(at_least("answers", measures.answers, 1))
+    checks.append(max_check("refusals that the scenario does not allow", unexpected, 0))
+    checks.append(max_check("failures of the run itself", len(result.failures), 0))
+    checks.append(min_check("answers", measures.answers, 1))
     checks.append(
-        at_most("memory of a router, MB", result.memory_mb, targets.MEMORY_MB)
+        max_check("memory of a router, MB", result.memory_mb, targets.MEMORY_MB)
     )
-    if scenario.compared:
+    if scenario.compared_with_baseline:
         backlogged = _backlogged_pools(scenario, result)
         checks += _baseline_checks(options, backlogged, measures, central)
     return checks
 
 
 def _baseline_checks(
-    options: Options, backlogged: set[str], measures: Measures, central: Measures
+    options: RunOptions, backlogged: set[str], measures: Measures, central: Measures
 ) -> list[Check]:
     checks = []
     for pool in sorted(backlogged):
         gap = measures.gap_detail[pool]
         limit = targets.GAP_RATIO * central.fairness_gap[pool]
-        checks.append(at_most(f"fairness gap of {pool}", gap.units, limit))
+        checks.append(max_check(f"fairness gap of {pool}", gap.units, limit))
         bound = _fairness_gap_bound(options.topology, pool, gap, measures)
-        checks.append(at_most(f"fairness gap of {pool}, bound", gap.units, bound))
+        checks.append(max_check(f"fairness gap of {pool}, bound", gap.units, bound))
         checks.append(
-            at_least(
+            min_check(
                 f"utilisation of {pool}",
                 measures.utilisation[pool],
                 targets.UTILISATION_RATIO * central.utilisation[pool],
@@ -336,7 +346,7 @@
 
 def median_checks(scenario: Scenario, results: Sequence[Result]) -> list[Check]:
     """Check the median over seeds of the fairness gap relative to the baseline."""
-    if not scenario.compared:
+    if not scenario.compared_with_baseline:
         return []
     checks = []
     for pool in sorted(_backlogged_pools(scenario, results[0])):
@@ -347,13 +357,13 @@
         ]
         median_ratio = median(ratios) if ratios else inf
         name = f"median gap of {pool} by the baseline's"
-        checks.append(at_most(name, median_ratio, targets.GAP_MEDIAN_RATIO))
+        checks.append(max_check(name, median_ratio, targets.GAP_MEDIAN_RATIO))
     return checks
 
 
 def _backlogged_pools(scenario: Scenario, result: Result) -> set[str]:
     flows = scenario.flows(TOPOLOGIES[result.topology], result.routers)
-    return {flow.pool for flow in flows if flow.workers and not flow.limit}
+    return {flow.pool for flow in flows if flow.workers and not flow.max_requests}
 
 
 def _fairness_gap_bound(
@@ -374,12 +384,12 @@
     )
 
 
-def at_most(name: str, measured: float, limit: float) -> Check:
+def max_check(name: str, measured: float, limit: float) -> Check:
     """Return a check that a value does not exceed a limit."""
     return Check(name, measured, limit, measured <= limit)
 
 
-def at_least(name: str, measured: float, limit: float) -> Check:
+def min_check(name: str, measured: float, limit: float) -> Check:
     """Return a check that a value is not below a limit."""
     return Check(name, measured, limit, measured >= limit)
 
--- a/borageworks_emulator/scenarios/crash_request.py
+++ b/borageworks_emulator/scenarios/crash_request.py
@@ -5,7 +5,7 @@
 from borageworks_emulator import targets
 from borageworks_emulator.load import Flow, LoadResult
 from borageworks_emulator.report import Check, Result
-from borageworks_emulator.scenario import Scenario, Stage, at_least, at_most
+from borageworks_emulator.scenario import Scenario, ScenarioRun, max_check, min_check
 from borageworks_emulator.scenarios.flows import LIGHT_LOAD_RATIO, everyday_flows
 from borageworks_emulator.topology import Topology
 
@@ -21,7 +21,7 @@
         topology.model,
         topology.engine_pool,
         workers=1,
-        limit=1,
+        max_requests=1,
         start_s=CRASH_START_S,
         resends=RESENDS,
         resend_after_s=RESEND_AFTER_S,
@@ -30,8 +30,8 @@
     return [*everyday_flows(topology, routers, LIGHT_LOAD_RATIO), crashing]
 
 
-async def _faults(stage: Stage) -> None:
-    for endpoint in stage.endpoints:
+async def _faults(scenario_run: ScenarioRun) -> None:
+    for endpoint in scenario_run.endpoints:
         endpoint.faults.crash_marker = MARKER.encode()
 
 
@@ -39,10 +39,14 @@
     crashes = result.faults.get("crash", 0)
     suspected = result.measures.refusals.get("request_suspected", 0)
     return [
-        at_least("endpoints lost to the request", crashes, 1),
-        at_most("endpoints lost to the request", crashes, targets.CRASHED_ENDPOINTS),
-        at_least("resends refused as suspect", suspected, 1),
-        at_most("refusals in all", sum(result.measures.refusals.values()), RESENDS + 1),
+        min_check("endpoints lost to the request", crashes, 1),
+        max_check(
+            "endpoints lost to the request", crashes, targets.MAX_CRASHED_ENDPOINTS
+        ),
+        min_check("resends refused as suspect", suspected, 1),
+        max_check(
+            "refusals in all", sum(result.measures.refusals.values()), RESENDS + 1
+        ),
     ]
 
 
@@ -52,5 +56,7 @@
     flows=_flows,
     faults=_faults,
     checks=_checks,
-    may_refuse=frozenset(("request_suspected", "retries_exhausted", "outcome_unknown")),
+    allowed_refusals=frozenset(
+        ("request_suspected", "retries_exhausted", "outcome_unknown")
+    ),
 )
--- a/borageworks_emulator/scenarios/crossed_answers.py
+++ b/borageworks_emulator/scenarios/crossed_answers.py
@@ -7,7 +7,7 @@
 
 from borageworks_emulator.load import LoadResult
 from borageworks_emulator.report import Check, Result
-from borageworks_emulator.scenario import Scenario, Stage, at_least
+from borageworks_emulator.scenario import Scenario, ScenarioRun, min_check
 from borageworks_emulator.scenarios.flows import everyday_flows
 
 FAULT_START_RATIO = 0.2
@@ -15,19 +15,21 @@
 SWAP_INTERVAL_S = 1.0
 
 
-async def _faults(stage: Stage) -> None:
-    await stage.until(FAULT_START_RATIO)
-    fault_end = stage.began + FAULT_END_RATIO * stage.options.duration_s
+async def _faults(scenario_run: ScenarioRun) -> None:
+    await scenario_run.sleep_until_fraction(FAULT_START_RATIO)
+    fault_end = (
+        scenario_run.load_started_at + FAULT_END_RATIO * scenario_run.options.duration_s
+    )
     while time.monotonic() < fault_end:
-        for endpoint in stage.endpoints:
+        for endpoint in scenario_run.endpoints:
             endpoint.faults.crossed = 1
         await asyncio.sleep(SWAP_INTERVAL_S)
-    for endpoint in stage.endpoints:
+    for endpoint in scenario_run.endpoints:
         endpoint.faults.crossed = 0
 
 
 def _checks(result: Result, load: LoadResult) -> list[Check]:
-    return [at_least("pairs of answers exchanged", result.faults.get("crossed", 0), 1)]
+    return [min_check("pairs of answers exchanged", result.faults.get("crossed", 0), 1)]
 
 
 CROSSED_ANSWERS = Scenario(
@@ -36,5 +38,5 @@
     flows=everyday_flows,
     faults=_faults,
     checks=_checks,
-    may_refuse=frozenset(("outcome_unknown", "retries_exhausted")),
+    allowed_refusals=frozenset(("outcome_unknown", "retries_exhausted")),
 )
--- a/borageworks_emulator/scenarios/flood.py
+++ b/borageworks_emulator/scenarios/flood.py
@@ -5,7 +5,7 @@
 from borageworks_emulator import targets
 from borageworks_emulator.load import Flow, LoadResult
 from borageworks_emulator.report import Check, Result
-from borageworks_emulator.scenario import Scenario, at_most
+from borageworks_emulator.scenario import Scenario, max_check
 from borageworks_emulator.scenarios.flows import (
     LIGHT_LOAD_RATIO,
     backlog_flow,
@@ -28,12 +28,14 @@
 
 
 def _checks(result: Result, load: LoadResult) -> list[Check]:
-    smallest = TOPOLOGIES[result.topology].smallest
-    central_wait_s = result.central.wait.get(smallest, 0.0) if result.central else 0.0
+    smallest_organisation = TOPOLOGIES[result.topology].smallest_organisation
+    central_wait_s = (
+        result.central.wait.get(smallest_organisation, 0.0) if result.central else 0.0
+    )
     return [
-        at_most(
+        max_check(
             "mean wait of the smallest organisation, s",
-            result.measures.wait.get(smallest, float("inf")),
+            result.measures.wait.get(smallest_organisation, float("inf")),
             targets.WAIT_RATIO * central_wait_s,
         )
     ]
@@ -43,6 +45,6 @@
     name="flood",
     description="a small organisation sends five times what all engines can run",
     flows=_flows,
-    compared=True,
+    compared_with_baseline=True,
     checks=_checks,
 )
--- a/borageworks_emulator/scenarios/flows.py
+++ b/borageworks_emulator/scenarios/flows.py
@@ -21,15 +21,18 @@
 ) -> list[Flow]:
     """Return open-loop requests of every organisation for every service.
 
-    Their rate is `targets.RATE_PER_ROUTER` per router, limited to a fraction of the
-    capacity of each pool.
+    Their rate is `targets.REQUESTS_PER_S_PER_ROUTER` per router, limited to a fraction
+    of the capacity of each pool.
     """
-    total_rate = targets.RATE_PER_ROUTER * routers
+    total_rate = targets.REQUESTS_PER_S_PER_ROUTER * routers
     engine_limit = (
         engine_load_ratio * topology.capacity(topology.engine_pool) / MEAN_UNITS
     )
     plain_limit = (
-        PLAIN_LOAD_RATIO * topology.capacity(topology.plain_pool) / MEAN_PLAIN_MS * 1000
+        PLAIN_LOAD_RATIO
+        * topology.capacity(topology.service_pool)
+        / MEAN_PLAIN_MS
+        * 1000
     )
     engine_rate = min(engine_limit, 0.6 * total_rate)
     plain_rate = min(plain_limit, total_rate - engine_rate)
@@ -42,31 +45,31 @@
                 topology.model,
                 topology.engine_pool,
                 rate=engine_rate / organisation_count,
-                mean=MEAN_TOKENS,
+                length_mean=MEAN_TOKENS,
             )
         )
-        for service, ratio, keyed in (
-            (topology.protected, PROTECTED_RATIO, True),
-            (topology.status, 1 - PROTECTED_RATIO, False),
+        for service, ratio, with_idempotency_key in (
+            (topology.non_idempotent_service, PROTECTED_RATIO, True),
+            (topology.idempotent_service, 1 - PROTECTED_RATIO, False),
         ):
             flows.append(
                 Flow(
                     name,
                     service,
-                    topology.plain_pool,
+                    topology.service_pool,
                     engine=False,
                     rate=ratio * plain_rate / organisation_count,
-                    mean=MEAN_PLAIN_MS,
-                    sigma=0.7,
-                    largest=2_000.0,
-                    keyed=keyed,
+                    length_mean=MEAN_PLAIN_MS,
+                    length_sigma=0.7,
+                    length_max=2_000.0,
+                    with_idempotency_key=with_idempotency_key,
                 )
             )
     return flows
 
 
 def backlog_flow(
-    topology: Topology, organisation: str, workers: int, router: int | None = None
+    topology: Topology, organisation: str, workers: int, router_index: int | None = None
 ) -> Flow:
     """Return closed-loop model requests that keep an organisation backlogged."""
     return Flow(
@@ -74,8 +77,8 @@
         topology.model,
         topology.engine_pool,
         workers=workers,
-        mean=MEAN_TOKENS,
-        router=router,
+        length_mean=MEAN_TOKENS,
+        router_index=router_index,
     )
 
 
--- a/borageworks_emulator/scenarios/pause_and_wake.py
+++ b/borageworks_emulator/scenarios/pause_and_wake.py
@@ -6,10 +6,10 @@
 import signal
 import time
 
-from borageworks_emulator.analysis import Excuse
+from borageworks_emulator.analysis import RouterKill
 from borageworks_emulator.load import LoadResult
 from borageworks_emulator.report import Check, Result
-from borageworks_emulator.scenario import Scenario, Stage, at_least
+from borageworks_emulator.scenario import Scenario, ScenarioRun, min_check
 from borageworks_emulator.scenarios.flows import everyday_flows
 from borageworks_emulator.scenarios.restart import BALANCER_LAG_S
 
@@ -20,26 +20,26 @@
 SETTLE_S = 2.0
 
 
-async def _faults(stage: Stage) -> None:
-    await stage.until(PAUSE_AT_RATIO)
-    index = stage.options.seed % len(stage.fleet.routers)
-    router = stage.fleet.routers[index]
+async def _faults(scenario_run: ScenarioRun) -> None:
+    await scenario_run.sleep_until_fraction(PAUSE_AT_RATIO)
+    index = scenario_run.options.seed % len(scenario_run.fleet.routers)
+    router = scenario_run.fleet.routers[index]
     paused_at = time.monotonic()
-    router.send(signal.SIGSTOP)
-    stage.applied["router_paused"] += 1
+    router.send_signal(signal.SIGSTOP)
+    scenario_run.applied["router_paused"] += 1
     await asyncio.sleep(BALANCER_LAG_S)
-    stage.balancer.set_up(index, False)
+    scenario_run.balancer.set_available(index, False)
     await asyncio.sleep(PAUSE_S - BALANCER_LAG_S)
-    router.send(signal.SIGCONT)
+    router.send_signal(signal.SIGCONT)
     await asyncio.sleep(SETTLE_S)
-    stage.excused.append(Excuse(index, paused_at, time.monotonic()))
-    status = await router.status(stage.fleet.session)
-    stage.notes["answers_after_waking"] = 1.0 if status["lacking"] == [] else 0.0
-    stage.balancer.set_up(index, True)
+    scenario_run.router_kills.append(RouterKill(index, paused_at, time.monotonic()))
+    status = await router.status(scenario_run.fleet.session)
+    scenario_run.notes["answers_after_waking"] = 1.0 if status["lacking"] == [] else 0.0
+    scenario_run.balancer.set_available(index, True)
 
 
 def _checks(result: Result, load: LoadResult) -> list[Check]:
-    return [at_least("ready after waking", result.notes["answers_after_waking"], 1)]
+    return [min_check("ready after waking", result.notes["answers_after_waking"], 1)]
 
 
 PAUSE_AND_WAKE = Scenario(
--- a/borageworks_emulator/scenarios/slow_engine.py
+++ b/borageworks_emulator/scenarios/slow_engine.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from borageworks_emulator.scenario import Scenario, Stage
+from borageworks_emulator.scenario import Scenario, ScenarioRun
 from borageworks_emulator.scenarios.flows import contended_flows
 from borageworks_emulator.topology import AnyEndpoint
 
@@ -16,13 +16,13 @@
 async def _slow_down(endpoints: list[AnyEndpoint], duration_s: float) -> None:
     await asyncio.sleep(FAULT_START_RATIO * duration_s)
     endpoints[0].faults.slowdown = SLOWDOWN
-    endpoints[0].faults.note("slowdown")
+    endpoints[0].faults.count_applied("slowdown")
     await asyncio.sleep((FAULT_END_RATIO - FAULT_START_RATIO) * duration_s)
     endpoints[0].faults.slowdown = 1.0
 
 
-async def _faults(stage: Stage) -> None:
-    await _slow_down(stage.endpoints, stage.options.duration_s)
+async def _faults(scenario_run: ScenarioRun) -> None:
+    await _slow_down(scenario_run.endpoints, scenario_run.options.duration_s)
 
 
 SLOW_ENGINE = Scenario(
@@ -31,5 +31,5 @@
     flows=contended_flows,
     faults=_faults,
     endpoint_faults=_slow_down,
-    compared=True,
+    compared_with_baseline=True,
 )
--- a/borageworks_emulator/scenarios/uneven.py
+++ b/borageworks_emulator/scenarios/uneven.py
@@ -17,10 +17,10 @@
     first, second, third, *_, small, _ = topology.organisations
     return [
         *everyday_flows(topology, routers, LIGHT_LOAD_RATIO),
-        backlog_flow(topology, first, workers, router=0),
+        backlog_flow(topology, first, workers, router_index=0),
         backlog_flow(topology, second, workers),
-        backlog_flow(topology, third, workers, router=1 % routers),
-        backlog_flow(topology, small, workers, router=2 % routers),
+        backlog_flow(topology, third, workers, router_index=1 % routers),
+        backlog_flow(topology, small, workers, router_index=2 % routers),
     ]
 
 
@@ -28,5 +28,5 @@
     name="uneven",
     description="three backlogged organisations on one router each, one on all",
     flows=_flows,
-    compared=True,
+    compared_with_baseline=True,
 )
--- a/borageworks_emulator/service.py
+++ b/borageworks_emulator/service.py
@@ -165,8 +165,8 @@
         if job.crashed:
             return _break_connection(request, b"")
         response_body = expected_response(request.method, request.path_qs, request_body)
-        if self._fault_due(self.faults.late_every, number, "late"):
-            await asyncio.sleep(self.faults.late_s)
+        if self._fault_due(self.faults.delay_every, number, "late"):
+            await asyncio.sleep(self.faults.delay_s)
         if self._fault_due(self.faults.garbage_every, number, "garbage"):
             return _break_connection(request, b"\x00\xff not HTTP\r\n\r\n")
         request_id, response_body = await self._exchange_response(
--- a/borageworks_emulator/slopes.py
+++ b/borageworks_emulator/slopes.py
@@ -41,7 +41,7 @@
     return slopes
 
 
-def render(rows: list[dict[str, Any]]) -> list[str]:
+def render_rows(rows: list[dict[str, Any]]) -> list[str]:
     """Return the rows of one measurement as lines of a table."""
     names = [name for name, value in rows[0].items() if not isinstance(value, tuple)]
     lines = ["  ".join(names)]
--- a/borageworks_emulator/soak/injector.py
+++ b/borageworks_emulator/soak/injector.py
@@ -161,18 +161,18 @@
 
     async def _kill_and_restart(self, gateway: GatewayProcess, down_s: float) -> None:
         self._disturbances.begin(gateway.name)
-        await gateway.end()
+        await gateway.kill()
         await asyncio.sleep(down_s)
         await gateway.start()
         self._disturbances.end(gateway.name)
 
     async def _stop_and_restart(self, gateway: GatewayProcess) -> None:
         self._checker.gateway_stopping(gateway.name)
-        gateway.send(signal.SIGTERM)
+        gateway.send_signal(signal.SIGTERM)
         try:
             await gateway.wait_exit(SHUTDOWN_GRACE_S)
         except TimeoutError:
-            await gateway.end()
+            await gateway.kill()
         self._disturbances.begin(gateway.name)
         await asyncio.sleep(RESTART_PAUSE_S)
         await gateway.start()
@@ -180,9 +180,9 @@
 
     async def _pause(self, gateway: GatewayProcess, for_s: float) -> None:
         self._disturbances.begin(gateway.name)
-        gateway.send(signal.SIGSTOP)
+        gateway.send_signal(signal.SIGSTOP)
         await asyncio.sleep(for_s)
-        gateway.send(signal.SIGCONT)
+        gateway.send_signal(signal.SIGCONT)
         self._disturbances.end(gateway.name)
 
     def _reload(self, gateway: GatewayProcess, with_signal: bool) -> None:
@@ -190,7 +190,7 @@
         assert address is not None
         gateway.write_settings(address)
         if with_signal and gateway.name not in self._busy:
-            gateway.send(signal.SIGHUP)
+            gateway.send_signal(signal.SIGHUP)
 
     async def _impair_paths(self, fault: HarmPaths) -> None:
         sources, targets = set(fault.sources), set(fault.targets)
--- a/borageworks_emulator/soak/runner.py
+++ b/borageworks_emulator/soak/runner.py
@@ -278,7 +278,7 @@
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
-        await asyncio.gather(*(gateway.end() for gateway in self._gateways.values()))
+        await asyncio.gather(*(gateway.kill() for gateway in self._gateways.values()))
         for endpoint in self._endpoints:
             await endpoint.stop()
         await self._network.close()
--- a/borageworks_emulator/tests/test_central.py
+++ b/borageworks_emulator/tests/test_central.py
@@ -67,9 +67,16 @@
     def test_every_response_arrives_and_no_key_runs_twice(self):
         """Guards against a baseline whose lost requests make it look worse."""
         flows = [
-            Flow("org-0", "quotes", "models", workers=12, mean=4.0),
-            Flow("org-3", "quotes", "models", workers=12, mean=4.0),
-            Flow("org-4", "orders", "desks", engine=False, rate=40.0, keyed=True),
+            Flow("org-0", "quotes", "models", workers=12, length_mean=4.0),
+            Flow("org-3", "quotes", "models", workers=12, length_mean=4.0),
+            Flow(
+                "org-4",
+                "orders",
+                "desks",
+                engine=False,
+                rate=40.0,
+                with_idempotency_key=True,
+            ),
         ]
         run = asyncio.run(run_central(SMALL_TOPOLOGY, Trace(flows, 1, 1.0)))
         measures = run.measures
--- a/borageworks_emulator/tests/test_engine.py
+++ b/borageworks_emulator/tests/test_engine.py
@@ -14,7 +14,7 @@
     expected_content,
 )
 from borageworks_emulator.recording import RunOutcome
-from borageworks_emulator.tests.waiting import until
+from borageworks_emulator.tests.waiting import wait_until
 
 FAST_PROFILE = EngineProfile(base_ms=0.5, per_slot_ms=0.1, prefill_token_ms=0.0)
 
@@ -152,7 +152,7 @@
                 asyncio.create_task(_post(session, _chat(f"{i} answer_tokens=2")))
                 for i in range(3)
             ]
-            await until(lambda: len(engine.recording.runs) == 3)
+            await wait_until(lambda: len(engine.recording.runs) == 3)
             seen = (engine.running, engine.waiting)
             await asyncio.gather(*calls)
             return seen
@@ -168,7 +168,7 @@
             response = await session.post("/v1/chat/completions", json=body)
             await response.content.readany()
             response.close()
-            await until(lambda: not engine.running)
+            await wait_until(lambda: not engine.running)
             return engine.recording.runs
 
         slow_profile = EngineProfile(base_ms=20.0)
@@ -185,11 +185,11 @@
             victim = asyncio.create_task(
                 _post(session, _chat("long answer_tokens=50", stream=True))
             )
-            await until(lambda: engine.running)
+            await wait_until(lambda: engine.running)
             results = await asyncio.gather(
                 victim, _post(session, _chat("poison")), return_exceptions=True
             )
-            await until(lambda: not engine.down)
+            await wait_until(lambda: not engine.down)
             again = await _post(session, _chat("fine answer_tokens=2"))
             return results, before, engine.incarnation, again[0].status, engine
 
--- a/borageworks_emulator/tests/test_fleet.py
+++ b/borageworks_emulator/tests/test_fleet.py
@@ -155,9 +155,9 @@
             router._process = await asyncio.create_subprocess_exec(
                 sys.executable, "-c", "import time; time.sleep(60)"
             )
-            router.send(signal.SIGSTOP)
+            router.send_signal(signal.SIGSTOP)
             usage = router.cpu_s, router.memory_mb
-            await router.end()
+            await router.kill()
             return usage, router.alive
 
         with tempfile.TemporaryDirectory() as directory:
--- a/borageworks_emulator/tests/test_load.py
+++ b/borageworks_emulator/tests/test_load.py
@@ -19,7 +19,9 @@
 from borageworks_emulator.service import expected_response
 
 CHAT_FLOW = Flow("org-1", "m", "models", rate=20.0)
-PLAIN_FLOW = Flow("org-2", "s", "desks", engine=False, rate=20.0, keyed=True)
+PLAIN_FLOW = Flow(
+    "org-2", "s", "desks", engine=False, rate=20.0, with_idempotency_key=True
+)
 
 
 def _trace(*flows, seed=1):
@@ -67,11 +69,11 @@
     def test_unavailable_router_gets_no_requests_and_resends_change_router(self):
         """Guards against load sent to a router that was removed from the rotation."""
         planned = _planned_request(
-            Flow("org-1", "m", "models", rate=9.0, router=1), stream=True
+            Flow("org-1", "m", "models", rate=9.0, router_index=1), stream=True
         )
         balancer = Balancer(["a", "b", "c"])
         self.assertEqual([1, 2], [balancer.choose(planned, n) for n in (0, 1)])
-        balancer.set_up(1, False)
+        balancer.set_available(1, False)
         self.assertEqual(2, balancer.choose(planned, 0))
 
 
--- a/borageworks_emulator/tests/test_report.py
+++ b/borageworks_emulator/tests/test_report.py
@@ -3,7 +3,13 @@
 import orjson
 import testtools
 
-from borageworks_emulator.analysis import CallRecord, Excuse, Measures, Verdict, analyse
+from borageworks_emulator.analysis import (
+    CallRecord,
+    Measures,
+    RouterKill,
+    Verdict,
+    analyse,
+)
 from borageworks_emulator.report import Check, Result
 
 EXPECTED_KEYS = (
@@ -55,12 +61,12 @@
     def test_only_calls_that_the_killed_router_broke_are_excused(self):
         """Guards against an excuse that hides failures of other routers."""
         calls = [
-            CallRecord("1", "a", "p", "", 0.0, end=5.0, target=1),
-            CallRecord("2", "a", "p", "", 0.0, end=5.0, target=2),
-            CallRecord("3", "a", "p", "", 0.0, end=9.0, target=1),
+            CallRecord("1", "a", "p", "", 0.0, end=5.0, router_index=1),
+            CallRecord("2", "a", "p", "", 0.0, end=5.0, router_index=2),
+            CallRecord("3", "a", "p", "", 0.0, end=9.0, router_index=1),
             CallRecord(
-                "4", "a", "p", "", 0.0, end=5.0, target=1, verdict=Verdict.WRONG
+                "4", "a", "p", "", 0.0, end=5.0, router_index=1, verdict=Verdict.WRONG
             ),
         ]
-        measures = analyse([], calls, {"a": 1.0}, 10.0, [Excuse(1, 4.0, 6.0)])
+        measures = analyse([], calls, {"a": 1.0}, 10.0, [RouterKill(1, 4.0, 6.0)])
         self.assertEqual((1, 2, 1), (measures.excused, measures.lost, measures.wrong))
--- a/borageworks_emulator/tests/test_scenarios.py
+++ b/borageworks_emulator/tests/test_scenarios.py
@@ -12,7 +12,12 @@
 from borageworks_emulator.analysis import CallRecord, Gap, Measures, Verdict
 from borageworks_emulator.load import Balancer, LoadResult, Trace
 from borageworks_emulator.report import Result
-from borageworks_emulator.scenario import Options, Stage, common_checks, median_checks
+from borageworks_emulator.scenario import (
+    RunOptions,
+    ScenarioRun,
+    common_checks,
+    median_checks,
+)
 from borageworks_emulator.scenarios import SCENARIOS
 from borageworks_emulator.topology import PATITSA, TOPOLOGIES
 
@@ -31,18 +36,18 @@
 
 def _measures(gap, utilisation, **fields):
     measures = Measures(answers=10, **fields)
-    for pool in (PATITSA.engine_pool, PATITSA.plain_pool):
+    for pool in (PATITSA.engine_pool, PATITSA.service_pool):
         measures.fairness_gap[pool] = gap
         measures.gap_detail[pool] = Gap(gap, pool, "org-0", "org-3", 9.0)
         measures.utilisation[pool] = utilisation
         measures.largest_units[pool] = 100.0
-    measures.wait[PATITSA.smallest] = 0.1
+    measures.wait[PATITSA.smallest_organisation] = 0.1
     return measures
 
 
 def _missed_targets(name, measures, central):
     checks = common_checks(
-        SCENARIOS[name], Options(PATITSA), _result(name, measures, central)
+        SCENARIOS[name], RunOptions(PATITSA), _result(name, measures, central)
     )
     return [check.name for check in checks if not check.passed]
 
@@ -76,7 +81,7 @@
         """Guards against a run that passes because its fault was not applied."""
         result = _result("steady", _measures(1.0, 1.0), _measures(1.0, 1.0))
         result.failures.append("router-1 ended")
-        checks = common_checks(SCENARIOS["steady"], Options(PATITSA), result)
+        checks = common_checks(SCENARIOS["steady"], RunOptions(PATITSA), result)
         self.assertEqual(
             ["failures of the run itself"], [c.name for c in checks if not c.passed]
         )
@@ -108,7 +113,7 @@
         """Guards against starvation of a small organisation."""
         measures, central = _measures(1.0, 1.0), _measures(1.0, 1.0)
         self.assertEqual([], self.checks("flood", _result("flood", measures, central)))
-        measures.wait[PATITSA.smallest] = 0.151
+        measures.wait[PATITSA.smallest_organisation] = 0.151
         self.assertEqual(
             1, len(self.checks("flood", _result("flood", measures, central)))
         )
@@ -157,7 +162,7 @@
         """Guards against control traffic that is measured at a lower request rate."""
         flows = SCENARIOS["steady"].flows(PATITSA, ROUTER_COUNT)
         rate = sum(flow.rate for flow in flows)
-        self.assertAlmostEqual(targets.RATE_PER_ROUTER * ROUTER_COUNT, rate)
+        self.assertAlmostEqual(targets.REQUESTS_PER_S_PER_ROUTER * ROUTER_COUNT, rate)
 
 
 class _FakeRouter:
@@ -166,7 +171,7 @@
     def __init__(self):
         self.signals = []
 
-    def send(self, number):
+    def send_signal(self, number):
         self.signals.append(number.name)
 
     async def wait_exit(self):
@@ -188,25 +193,27 @@
             store: Any = SimpleNamespace(
                 unavailable=False, faults=SimpleNamespace(lost_replies=0)
             )
-            stage = Stage(
-                Options(PATITSA, duration_s=duration),
+            scenario_run = ScenarioRun(
+                RunOptions(PATITSA, duration_s=duration),
                 PATITSA.endpoints(),
                 fleet,
                 Balancer(["a", "b", "c"]),
                 store,
-                began=time.monotonic(),
+                load_started_at=time.monotonic(),
             )
-            await SCENARIOS[name].faults(stage)
-            return stage
+            await SCENARIOS[name].faults(scenario_run)
+            return scenario_run
 
         return asyncio.run(main())
 
     def test_killed_router_restarts_and_only_its_calls_are_excused(self):
         """Guards against a fault that leaves the fleet with fewer routers."""
-        stage = self.run_faults("restart")
-        self.assertEqual(["SIGKILL", "start", "ready"], stage.fleet.routers[1].signals)
-        self.assertEqual([1], [excuse.target for excuse in stage.excused])
-        self.assertEqual(Counter(router_killed=1), stage.applied)
+        scenario_run = self.run_faults("restart")
+        self.assertEqual(
+            ["SIGKILL", "start", "ready"], scenario_run.fleet.routers[1].signals
+        )
+        self.assertEqual([1], [kill.router_index for kill in scenario_run.router_kills])
+        self.assertEqual(Counter(router_killed=1), scenario_run.applied)
 
     def test_temporary_faults_are_off_at_the_end(self):
         """Guards against faults that last into the drain of the load."""
--- a/borageworks_emulator/tests/test_service.py
+++ b/borageworks_emulator/tests/test_service.py
@@ -13,7 +13,7 @@
     ServiceProfile,
     expected_response,
 )
-from borageworks_emulator.tests.waiting import until
+from borageworks_emulator.tests.waiting import wait_until
 
 
 def _run_with_service(case, profile=None):
@@ -89,10 +89,10 @@
                     "/", json={"duration_ms": 50}, headers={"Idempotency-Key": "k"}
                 )
             )
-            await until(lambda: service.running)
+            await wait_until(lambda: service.running)
             call.cancel()
             await asyncio.gather(call, return_exceptions=True)
-            await until(lambda: not service.running)
+            await wait_until(lambda: not service.running)
             async with session.post(
                 "/", json={"duration_ms": 1}, headers={"Idempotency-Key": "k"}
             ) as response:
@@ -132,7 +132,7 @@
                 session.post("/", json={"text": "poison"}),
                 return_exceptions=True,
             )
-            await until(lambda: not service.down)
+            await wait_until(lambda: not service.down)
             async with session.post("/", json={"duration_ms": 1}) as response:
                 return results, response.status
 
--- a/borageworks_emulator/tests/waiting.py
+++ b/borageworks_emulator/tests/waiting.py
@@ -6,7 +6,7 @@
 POLL_INTERVAL_S = 0.002
 
 
-async def until(condition):
+async def wait_until(condition):
     """Return once `condition()` is true; fail after ten seconds."""
     for _ in range(MAX_POLLS):
         if condition():
--- a/borageworks_emulator/topology.py
+++ b/borageworks_emulator/topology.py
@@ -31,7 +31,7 @@
         Share by organisation.
     model, engine_pool
         The service that all engines run, and its pool.
-    protected, status, plain_pool
+    non_idempotent_service, idempotent_service, service_pool
         A non-idempotent and an idempotent plain service, and their pool.
     """
 
@@ -41,10 +41,10 @@
     services: int
     shares: dict[str, float]
     model: str
-    protected: str
-    status: str
+    non_idempotent_service: str
+    idempotent_service: str
     engine_pool: str = "models"
-    plain_pool: str = "desks"
+    service_pool: str = "desks"
     engine_profile: EngineProfile = field(default_factory=EngineProfile)
     service_profile: ServiceProfile = field(default_factory=ServiceProfile)
 
@@ -54,7 +54,7 @@
         return sorted(self.shares, key=lambda name: (-self.shares[name], name))
 
     @property
-    def smallest(self) -> str:
+    def smallest_organisation(self) -> str:
         """An organisation with the smallest share."""
         return self.organisations[-1]
 
@@ -63,8 +63,8 @@
         """Pool by service id."""
         return {
             self.model: self.engine_pool,
-            self.protected: self.plain_pool,
-            self.status: self.plain_pool,
+            self.non_idempotent_service: self.service_pool,
+            self.idempotent_service: self.service_pool,
         }
 
     def slots(self, pool: str) -> int:
@@ -86,7 +86,7 @@
             for i in range(self.engines)
         ]
         services = [
-            EmulatedService(f"desk-{i}", self.plain_pool, self.service_profile)
+            EmulatedService(f"desk-{i}", self.service_pool, self.service_profile)
             for i in range(self.services)
         ]
         return [*engines, *services]
@@ -132,12 +132,14 @@
         ]
         pools = [
             Pool(id=self.engine_pool, endpoints=PoolKind.ENGINE),
-            Pool(id=self.plain_pool, endpoints=PoolKind.PLAIN),
+            Pool(id=self.service_pool, endpoints=PoolKind.PLAIN),
         ]
         services = [
             Service(id=self.model, pool=self.engine_pool),
-            Service(id=self.protected, pool=self.plain_pool, idempotent=False),
-            Service(id=self.status, pool=self.plain_pool),
+            Service(
+                id=self.non_idempotent_service, pool=self.service_pool, idempotent=False
+            ),
+            Service(id=self.idempotent_service, pool=self.service_pool),
         ]
         endpoint_objects = [self.endpoint_object(endpoint) for endpoint in endpoints]
         return Ticket(
@@ -158,8 +160,8 @@
     services=3,
     shares=_organisation_shares((8.0, 6.0, 4.0)),
     model="quotes",
-    protected="orders",
-    status="status",
+    non_idempotent_service="orders",
+    idempotent_service="status",
 )
 SLAAPCEL = Topology(
     name="slaapcel",
@@ -168,7 +170,7 @@
     services=3,
     shares=_organisation_shares((6.0, 4.0)),
     model="briefings",
-    protected="signoff",
-    status="records",
+    non_idempotent_service="signoff",
+    idempotent_service="records",
 )
 TOPOLOGIES = {topology.name: topology for topology in (PATITSA, SLAAPCEL)}
