--- a/borageworks/api/server.py
+++ b/borageworks/api/server.py
@@ -71,7 +71,7 @@
         self._request_numbers = itertools.count(1)
         self._runner: web.AppRunner | None = None
         self._listener: asyncio.Server | None = None
-        self._address = settings.listen.pair
+        self._address = settings.listen.host_port
 
     @property
     def address(self) -> tuple[str, int]:
@@ -94,7 +94,7 @@
         app.router.add_get("/status", self._status)
         self._runner = web.AppRunner(app, handler_cancellation=True)
         await self._runner.setup()
-        host, port = self._settings.listen.pair
+        host, port = self._settings.listen.host_port
         self._listener = await asyncio.get_running_loop().create_server(
             self._connect, host, port, backlog=LISTEN_BACKLOG
         )
--- a/borageworks/commands/demo.py
+++ b/borageworks/commands/demo.py
@@ -207,7 +207,7 @@
 
 
 def _url(settings: Settings) -> str:
-    host, port = settings.listen.pair
+    host, port = settings.listen.host_port
     return f"http://{host}:{port}"
 
 
--- a/borageworks/config/settings.py
+++ b/borageworks/config/settings.py
@@ -30,7 +30,7 @@
     port: int = Field(ge=0, le=65535, description="0 selects a free port")
 
     @property
-    def pair(self) -> tuple[str, int]:
+    def host_port(self) -> tuple[str, int]:
         """Host and port as the socket API expects them."""
         return str(self.host), self.port
 
@@ -149,7 +149,7 @@
     @property
     def link(self) -> LinkSettings:
         """Settings of the links to other instances."""
-        host, port = self.peer.pair
+        host, port = self.peer.host_port
         return LinkSettings(
             self.instance, self.domain, host, port, self.membership.keys
         )
--- a/borageworks/config/tests/test_loader.py
+++ b/borageworks/config/tests/test_loader.py
@@ -35,7 +35,7 @@
         path = Path(directory.name) / "settings.json"
         path.write_bytes(orjson.dumps(VALID))
         loaded = load_settings(path)
-        self.assertEqual(("127.0.0.1", 0), loaded.membership.seeds[0].pair)
+        self.assertEqual(("127.0.0.1", 0), loaded.membership.seeds[0].host_port)
         self.assertEqual(0.3, loaded.fair.correction_gain)
 
     def test_every_error_has_its_path_and_the_nearest_key(self):
--- a/borageworks/membership/gossip.py
+++ b/borageworks/membership/gossip.py
@@ -102,7 +102,7 @@
         self._create_membership_at = functools.partial(
             self._create_membership, incarnation, rng, peer_address[1], catalog_version
         )
-        self._membership = self._create_membership_at(settings.gossip.pair)
+        self._membership = self._create_membership_at(settings.gossip.host_port)
 
     @property
     def address(self) -> Address:
@@ -144,7 +144,7 @@
         """Bind the socket and start probing."""
         loop = asyncio.get_running_loop()
         transport, _ = await loop.create_datagram_endpoint(
-            lambda: self, local_addr=self._settings.gossip.pair
+            lambda: self, local_addr=self._settings.gossip.host_port
         )
         host, port = transport.get_extra_info("sockname")[:2]
         if port != self._settings.gossip.port:
--- a/borageworks/membership/membership.py
+++ b/borageworks/membership/membership.py
@@ -143,9 +143,9 @@
         self._own = replace(own, incarnation=incarnation, state=MemberState.ALIVE)
         self._catalog_version = catalog_version
         self._seeds = [
-            seed.pair
+            seed.host_port
             for seed in self._settings.seeds
-            if seed.pair != _address(self._own)
+            if seed.host_port != _address(self._own)
         ]
         self._updates: dict[str, MemberUpdate] = {}
         self._members = {own.instance: Member.from_update(self._own)}
--- a/borageworks_emulator/process.py
+++ b/borageworks_emulator/process.py
@@ -134,7 +134,7 @@
     @property
     def url(self) -> str:
         """Base URL of the API for callers."""
-        host, port = self.settings.listen.pair
+        host, port = self.settings.listen.host_port
         return f"http://{host}:{port}"
 
     @property
--- a/borageworks_emulator/slopes_membership.py
+++ b/borageworks_emulator/slopes_membership.py
@@ -120,7 +120,7 @@
         own = MemberUpdate(
             name,
             settings.domain,
-            *settings.gossip.pair,
+            *settings.gossip.host_port,
             settings.peer.port,
             incarnation,
             MemberState.ALIVE,
@@ -128,7 +128,7 @@
         member = Membership(
             settings, incarnation, random.Random(self._rng.random()), own
         )
-        self._addresses[settings.gossip.pair] = name
+        self._addresses[settings.gossip.host_port] = name
         self.running[name] = member
         self.dead.discard(name)
         self._schedule(self.now + delay, lambda: self._tick(name, member))
--- a/borageworks_emulator/tests/test_fleet.py
+++ b/borageworks_emulator/tests/test_fleet.py
@@ -35,7 +35,7 @@
         """Guards against routers that share a port and settings that `run` rejects."""
         settings = router_settings(PATITSA, 6, "http://127.0.0.1:1")
         pairs = [
-            address.pair
+            address.host_port
             for each in settings
             for address in (each.listen, each.gossip, each.peer)
         ]
