--- a/borageworks/commands/demo.py
+++ b/borageworks/commands/demo.py
@@ -37,7 +37,7 @@
 FLOODING_ORG = "org-3"
 # Routers, endpoints, store and load generator share one event loop, so the load stays
 # well below the capacity of one core.
-DEMO = replace(
+DEMO_TOPOLOGY = replace(
     PATITSA, name="demo", domains=("domain-a", "domain-b"), engines=2, services=2
 )
 
@@ -104,19 +104,20 @@
         store = EmulatedStore()
         await store.start()
         stack.push_async_callback(store.stop)
-        endpoints = DEMO.endpoints()
+        endpoints = DEMO_TOPOLOGY.endpoints()
         for endpoint in endpoints:
             await endpoint.start()
             stack.push_async_callback(endpoint.stop)
-        settings = router_settings(DEMO, ROUTER_COUNT, store.url)
+        settings = router_settings(DEMO_TOPOLOGY, ROUTER_COUNT, store.url)
         routers = [Router(router_config) for router_config in settings]
         for router in routers:
             await router.start()
             stack.push_async_callback(router.stop)
         _print_to_stderr(
-            f"{ROUTER_COUNT} routers in {len(DEMO.domains)} failure domains started"
+            f"{ROUTER_COUNT} routers in {len(DEMO_TOPOLOGY.domains)} failure domains "
+            "started"
         )
-        await _apply_ticket(settings[0], DEMO.ticket(endpoints))
+        await _apply_ticket(settings[0], DEMO_TOPOLOGY.ticket(endpoints))
         return await _run_load(settings, endpoints, store, duration)
 
 
@@ -135,13 +136,15 @@
     duration: float,
 ) -> Result:
     urls = [_url(router_config) for router_config in settings]
-    generator = LoadGenerator(Trace(_flows(DEMO), SEED, duration), Balancer(urls))
+    generator = LoadGenerator(
+        Trace(_flows(DEMO_TOPOLOGY), SEED, duration), Balancer(urls)
+    )
     async with aiohttp.ClientSession() as session:
         for url in urls:
             await wait_ready(session, url, READY_TIMEOUT_S)
         await asyncio.sleep(SETTLE_S)
         _print_to_stderr(
-            f"ticket 1 in effect: {len(DEMO.shares)} organisations, "
+            f"ticket 1 in effect: {len(DEMO_TOPOLOGY.shares)} organisations, "
             f"{len(endpoints)} endpoints; {FLOODING_ORG} floods for {duration:g} s"
         )
         bytes_before = await _control_bytes(session, urls)
@@ -159,8 +162,8 @@
             (await _control_bytes(session, urls) - bytes_before) / elapsed_s / len(urls)
         )
     recordings = [endpoint.recording for endpoint in endpoints]
-    measures = analyse(recordings, load.calls, DEMO.shares, load.ends_at)
-    result = Result("demo", DEMO.name, SEED, ROUTER_COUNT, duration, measures)
+    measures = analyse(recordings, load.calls, DEMO_TOPOLOGY.shares, load.ends_at)
+    result = Result("demo", DEMO_TOPOLOGY.name, SEED, ROUTER_COUNT, duration, measures)
     result.control_bytes_per_second = control
     result.store_calls_per_second = store_calls
     return result
@@ -189,7 +192,7 @@
 def _show_summary(result: Result) -> None:
     measures = result.measures
     _print_to_stderr("")
-    for line in organisation_lines(measures, None, DEMO.shares):
+    for line in organisation_lines(measures, None, DEMO_TOPOLOGY.shares):
         _print_to_stderr(line)
     _print_to_stderr("")
     for pool in sorted(measures.fairness_gap):
--- a/borageworks/commands/soak.py
+++ b/borageworks/commands/soak.py
@@ -66,9 +66,13 @@
         if regressions:
             soaks = [
                 _settings(
-                    base_directory, past.seed, past.minutes, past.gateways, engines
+                    base_directory,
+                    regression.seed,
+                    regression.minutes,
+                    regression.gateways,
+                    engines,
                 )
-                for past in REGRESSIONS
+                for regression in REGRESSIONS
             ]
         else:
             soaks = [
--- a/borageworks_emulator/tests/test_demo.py
+++ b/borageworks_emulator/tests/test_demo.py
@@ -4,7 +4,7 @@
 import testtools
 from click.testing import CliRunner
 
-from borageworks.commands.demo import DEMO, demo
+from borageworks.commands.demo import DEMO_TOPOLOGY, demo
 
 
 class DemoTest(testtools.TestCase):
@@ -15,5 +15,5 @@
         document = orjson.loads(outcome.stdout)
         self.assertTrue(document["answers"] > 0)
         self.assertEqual((0, 0), (document["wrong"], document["doubled"]))
-        self.assertEqual(set(DEMO.shares), set(document["service"]["models"]))
+        self.assertEqual(set(DEMO_TOPOLOGY.shares), set(document["service"]["models"]))
         self.assertIn("fairness gap", outcome.stderr)
