--- a/borageworks/catalog/sync.py
+++ b/borageworks/catalog/sync.py
@@ -29,7 +29,7 @@
 )
 from borageworks.metrics import Metrics
 from borageworks.store.store import Store
-from borageworks.timers import Subscription, Timers
+from borageworks.timers import Timers, TimerSubscription
 from borageworks.wire.messages import (
     CatalogDigest,
     CatalogObjects,
@@ -127,7 +127,7 @@
         self._on_change = on_change
         self._rng = rng or random.Random()
         self._follower = StoreFollower(store, replica, self._merge, self._push)
-        self._subscriptions: list[Subscription] = []
+        self._subscriptions: list[TimerSubscription] = []
         self._load_task: asyncio.Task[None] | None = None
         self._watch_task: asyncio.Task[None] | None = None
         self._reply_task: asyncio.Task[None] | None = None
--- a/borageworks/claims/service.py
+++ b/borageworks/claims/service.py
@@ -36,7 +36,7 @@
 from borageworks.metrics import Metrics
 from borageworks.store.store import Store
 from borageworks.store.values import Transaction
-from borageworks.timers import Subscription, Timers
+from borageworks.timers import Timers, TimerSubscription
 from borageworks.wire.messages import (
     Claim,
     ClaimFinish,
@@ -104,7 +104,7 @@
         self._pending_replies: dict[int, asyncio.Future[ClaimReply]] = {}
         self._abandoned: OrderedDict[int, Claim] = OrderedDict()
         self._shards: dict[int, ClaimShard] = {}
-        self._tick_timers: dict[int, tuple[float, Subscription]] = {}
+        self._tick_timers: dict[int, tuple[float, TimerSubscription]] = {}
         self._tasks: set[asyncio.Task[None]] = set()
         self._cleanup_timer = timers.every(
             SHARD_CLEANUP_INTERVAL_S, self._drop_unowned_shards
--- a/borageworks/gateway/acceptor.py
+++ b/borageworks/gateway/acceptor.py
@@ -9,7 +9,7 @@
 from borageworks.events import Event, emit
 from borageworks.gateway.settings import HostPort
 from borageworks.metrics import Metrics
-from borageworks.timers import Subscription, Timers
+from borageworks.timers import Timers, TimerSubscription
 
 # About one second of connections to a busy instance. With a longer queue, connections
 # that callers have already abandoned would be accepted before newer ones.
@@ -47,7 +47,7 @@
         self._metrics = metrics
         self._loop = asyncio.get_running_loop()
         self._socket: socket.socket | None = None
-        self._poll_timer: Subscription | None = None
+        self._poll_timer: TimerSubscription | None = None
         self._backoff_until = 0.0
         self._tasks: set[asyncio.Task[object]] = set()
 
--- a/borageworks/gateway/admission.py
+++ b/borageworks/gateway/admission.py
@@ -7,7 +7,7 @@
 
 from borageworks.events import Event, emit
 from borageworks.gateway.loop_lag import MEASURE_INTERVAL_S, LoopLag
-from borageworks.timers import Subscription, Timers
+from borageworks.timers import Timers, TimerSubscription
 
 # While the loop lags, the limit is multiplied by the ratio once per interval: the next
 # decrease waits until requests admitted before the last one have been processed.
@@ -84,7 +84,7 @@
         self._overload_since: float | None = None
         self._overload_seen_at = -math.inf
         self._overloaded = False
-        self._subscription: Subscription | None = None
+        self._subscription: TimerSubscription | None = None
 
     @property
     def limit_per_s(self) -> float:
--- a/borageworks/gateway/cache_follower.py
+++ b/borageworks/gateway/cache_follower.py
@@ -78,7 +78,7 @@
         self._reported_at = {
             name: at for name, at in self._reported_at.items() if name in followed
         }
-        self._metrics.forget_gauges("engine_report_age_s")
+        self._metrics.clear_gauge("engine_report_age_s")
         for name, at in self._reported_at.items():
             self._metrics.gauge("engine_report_age_s", round(now - at, 3), name)
 
--- a/borageworks/gateway/loop_lag.py
+++ b/borageworks/gateway/loop_lag.py
@@ -7,7 +7,7 @@
 from borageworks.events import Event, emit
 from borageworks.gateway.settings import GatewaySettings
 from borageworks.metrics import Metrics
-from borageworks.timers import Subscription, Timers
+from borageworks.timers import Timers, TimerSubscription
 
 MEASURE_INTERVAL_S = 0.05
 # The mean is weighted by time, not by count: an overloaded loop takes few measurements.
@@ -30,7 +30,7 @@
     def __init__(self, settings: GatewaySettings, metrics: Metrics) -> None:
         self._limit_s = settings.lag_limit_s
         self._metrics = metrics
-        self._subscription: Subscription | None = None
+        self._subscription: TimerSubscription | None = None
         self._expected_at = 0.0
         self._mean_s = 0.0
         self._overloaded = False
--- a/borageworks/gateway/placer.py
+++ b/borageworks/gateway/placer.py
@@ -30,7 +30,7 @@
 from borageworks.placement.settings import PlacementSettings
 from borageworks.placement.shards import ServiceShards, Shard
 from borageworks.placement.work import Work, WorkKey
-from borageworks.timers import Subscription, Timers
+from borageworks.timers import Timers, TimerSubscription
 from borageworks.wire.messages import (
     Message,
     PlaceReply,
@@ -92,7 +92,7 @@
         self._owners: dict[Shard, str] = {}
         self._requests: dict[int, PendingPlacement] = {}
         self._numbers = itertools.count(1)
-        self._tick_timer: Subscription | None = None
+        self._tick_timer: TimerSubscription | None = None
         self._tallies: dict[Shard, OrganisationTally] = {}
 
     @property
--- a/borageworks/membership/gossip.py
+++ b/borageworks/membership/gossip.py
@@ -26,7 +26,7 @@
 from borageworks.membership.member import Member
 from borageworks.membership.membership import MAX_PACKET_BYTES, Datagram, Membership
 from borageworks.metrics import Metrics
-from borageworks.timers import Subscription, Timers
+from borageworks.timers import Timers, TimerSubscription
 from borageworks.wire.authenticator import CODE_BYTES, Authenticator
 from borageworks.wire.codec import decode, encode
 from borageworks.wire.messages import Ack, MemberState, MemberUpdate, Ping, PingRequest
@@ -94,7 +94,7 @@
         self._on_paused = on_paused
         self._authenticator = Authenticator(settings.membership.keys)
         self._transport: asyncio.DatagramTransport | None = None
-        self._tick_subscription: Subscription | None = None
+        self._tick_subscription: TimerSubscription | None = None
         self._last_tick_at = timers.now()
         self._next_rejection_log_at = 0.0
         self._bytes_sent = 0
--- a/borageworks/metrics.py
+++ b/borageworks/metrics.py
@@ -56,7 +56,7 @@
         """Call `update` before each rendering, to set gauges that vary with time."""
         self._before_render.append(update)
 
-    def forget_gauges(self, name: str) -> None:
+    def clear_gauge(self, name: str) -> None:
         """Remove all values of a gauge, so that only current labels are set again."""
         for key in [key for key in self._gauges if key[0] == name]:
             del self._gauges[key]
--- a/borageworks/router/entry.py
+++ b/borageworks/router/entry.py
@@ -40,7 +40,7 @@
 from borageworks.routing.rendezvous import rendezvous
 from borageworks.routing.suspects import CrashSuspects, Verdict
 from borageworks.routing.waiting import WaitingRequest
-from borageworks.timers import Subscription, Timers
+from borageworks.timers import Timers, TimerSubscription
 from borageworks.wire.messages import (
     AloneDemand,
     AloneGrant,
@@ -102,9 +102,9 @@
         self._slots = Slots(timers, metrics, send)
         self._sequence = itertools.count(1)
         self._flush_pending = False
-        self._tick_pending: Subscription | None = None
+        self._tick_pending: TimerSubscription | None = None
         self._calls = 0
-        self._subscriptions: list[Subscription] = []
+        self._subscriptions: list[TimerSubscription] = []
 
     @property
     def calls(self) -> int:
--- a/borageworks/router/exchange.py
+++ b/borageworks/router/exchange.py
@@ -15,7 +15,7 @@
 from borageworks.router.owner import Owner
 from borageworks.router.pool import OwnedPool
 from borageworks.routing.rendezvous import rendezvous
-from borageworks.timers import Subscription, Timers
+from borageworks.timers import Timers, TimerSubscription
 from borageworks.wire.messages import Message, ServiceError, ServiceReport
 
 Send = Callable[[str, Message], None]
@@ -94,7 +94,7 @@
         self._pools: dict[str, _PoolState] = {}
         self._aggregators: dict[str, Aggregator] = {}
         self._peers: dict[str, set[str]] = {}
-        self._subscriptions: dict[float, Subscription] = {}
+        self._subscriptions: dict[float, TimerSubscription] = {}
 
     def start(self) -> None:
         """Subscribe to the timers."""
--- a/borageworks/router/owner.py
+++ b/borageworks/router/owner.py
@@ -19,7 +19,7 @@
 from borageworks.router.isolation import IsolationQueue
 from borageworks.router.owned import BrokenRun, OwnedEndpoint
 from borageworks.router.pool import OwnedPool
-from borageworks.timers import Subscription, Timers
+from borageworks.timers import Timers, TimerSubscription
 from borageworks.wire.messages import (
     AloneDemand,
     AloneGrant,
@@ -91,7 +91,7 @@
         self._isolation = IsolationQueue()
         self._owned: dict[str, OwnedEndpoint] = {}
         self._pools: dict[str, OwnedPool] = {}
-        self._subscription: Subscription | None = None
+        self._subscription: TimerSubscription | None = None
         self._polls: set[asyncio.Task[None]] = set()
         self._polled: Counter[str] = Counter()
 
--- a/borageworks/router/router.py
+++ b/borageworks/router/router.py
@@ -32,7 +32,7 @@
 from borageworks.router.ownership import Ownership, derive
 from borageworks.router.protected import Protected
 from borageworks.store.etcd import EtcdStore
-from borageworks.timers import Subscription, Timers
+from borageworks.timers import Timers, TimerSubscription
 from borageworks.wire.links import PeerLinks
 from borageworks.wire.messages import (
     AloneDemand,
@@ -86,7 +86,7 @@
         self._derive_pending = False
         self._owned_before = False
         self._ownership = Ownership({}, {})
-        self._subscriptions: list[Subscription] = []
+        self._subscriptions: list[TimerSubscription] = []
         self._started_at = 0.0
 
     @property
--- a/borageworks/tests/test_metrics.py
+++ b/borageworks/tests/test_metrics.py
@@ -32,7 +32,7 @@
         ages = iter((1.0, 2.0))
 
         def update():
-            metrics.forget_gauges("engine_report_age_s")
+            metrics.clear_gauge("engine_report_age_s")
             metrics.gauge("engine_report_age_s", next(ages), "e-1")
 
         metrics.before_render(update)
--- a/borageworks/timers.py
+++ b/borageworks/timers.py
@@ -8,7 +8,7 @@
 TimerCallback = Callable[[float], None]
 
 
-class Subscription:
+class TimerSubscription:
     """A pending timer; `cancel` stops it.
 
     Parameters
@@ -67,14 +67,14 @@
         """Return the monotonic time in seconds."""
         return self._loop.time()
 
-    def every(self, interval: float, callback: TimerCallback) -> Subscription:
+    def every(self, interval: float, callback: TimerCallback) -> TimerSubscription:
         """Call `callback(now)` every `interval` seconds until cancelled."""
-        subscription = Subscription(self._loop, callback, interval)
+        subscription = TimerSubscription(self._loop, callback, interval)
         subscription.start(interval)
         return subscription
 
-    def after(self, delay: float, callback: TimerCallback) -> Subscription:
+    def after(self, delay: float, callback: TimerCallback) -> TimerSubscription:
         """Call `callback(now)` once in `delay` seconds unless cancelled."""
-        subscription = Subscription(self._loop, callback, None)
+        subscription = TimerSubscription(self._loop, callback, None)
         subscription.start(delay)
         return subscription
--- a/borageworks/wire/links.py
+++ b/borageworks/wire/links.py
@@ -11,7 +11,7 @@
 from borageworks.events import Event, emit
 from borageworks.exceptions import MessageTooLargeError
 from borageworks.metrics import Metrics
-from borageworks.timers import Subscription, Timers
+from borageworks.timers import Timers, TimerSubscription
 from borageworks.wire.authenticator import Authenticator
 from borageworks.wire.codec import encode
 from borageworks.wire.link import MAX_FRAME_BYTES, Link
@@ -65,8 +65,8 @@
     queue: deque[tuple[Message, int]] = field(default_factory=deque)
     queued_bytes: int = 0
     backoff_s: float = 0.0
-    retry_timer: Subscription | None = None
-    lazy_timer: Subscription | None = None
+    retry_timer: TimerSubscription | None = None
+    lazy_timer: TimerSubscription | None = None
     reconnect_on_retry: bool = False
     queue_while_retrying: bool = False
 
--- a/borageworks_emulator/store.py
+++ b/borageworks_emulator/store.py
@@ -14,7 +14,7 @@
 import orjson
 from aiohttp import web
 
-from borageworks.timers import Subscription, Timers
+from borageworks.timers import Timers, TimerSubscription
 
 MAX_VALUE_BYTES = 1_000_000
 MAX_REQUEST_BYTES = 4 * MAX_VALUE_BYTES
@@ -114,7 +114,7 @@
     """A lease and the keys attached to it."""
 
     ttl_s: int
-    timer: Subscription
+    timer: TimerSubscription
     keys: set[bytes] = field(default_factory=set)
 
 
@@ -478,7 +478,7 @@
             result["TTL"] = str(lease.ttl_s)
         return {"result": result}
 
-    def _start_expiry_timer(self, lease_id: int, ttl_s: int) -> Subscription:
+    def _start_expiry_timer(self, lease_id: int, ttl_s: int) -> TimerSubscription:
         assert self._timers is not None
 
         def expire(_now: float) -> None:
