--- a/borageworks_emulator/tests/test_report.py
+++ b/borageworks_emulator/tests/test_report.py
@@ -59,7 +59,7 @@
 
 class ExcuseTest(testtools.TestCase):
     def test_only_calls_that_the_killed_router_broke_are_excused(self):
-        """Guards against an excuse that hides failures of other routers."""
+        """Guards against a router kill that hides failures of other routers."""
         calls = [
             CallRecord("1", "a", "p", "", 0.0, end=5.0, router_index=1),
             CallRecord("2", "a", "p", "", 0.0, end=5.0, router_index=2),
