--- a/borageworks/commands/soak.py
+++ b/borageworks/commands/soak.py
@@ -16,8 +16,8 @@
 from borageworks.commands.loop import run_loop
 from borageworks_emulator.soak.regressions import REGRESSIONS
 from borageworks_emulator.soak.report import SoakReport
+from borageworks_emulator.soak.runner import Soak
 from borageworks_emulator.soak.settings import SoakSettings
-from borageworks_emulator.soak.soak import Soak
 
 SECONDS_PER_MINUTE = 60.0
 SEED_LIMIT = 1_000_000
@@ -66,9 +66,13 @@
         if regressions:
             soaks = [
                 _settings(
-                    base_directory, past.seed, past.minutes, past.gateways, engines
+                    base_directory,
+                    regression.seed,
+                    regression.minutes,
+                    regression.gateways,
+                    engines,
                 )
-                for past in REGRESSIONS
+                for regression in REGRESSIONS
             ]
         else:
             soaks = [
--- a/borageworks/gateway/cache_follower.py
+++ b/borageworks/gateway/cache_follower.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from borageworks.endpoints.limits import read_bounded
+from borageworks.endpoints.bounded_body import read_bounded
 from borageworks.exceptions import EndpointFailedError, EndpointReplyMalformedError
 from borageworks.gateway.codec import Codec
 from borageworks.gateway.endpoint import Endpoint
@@ -78,7 +78,7 @@
         self._reported_at = {
             name: at for name, at in self._reported_at.items() if name in followed
         }
-        self._metrics.forget_gauges("engine_report_age_s")
+        self._metrics.clear_gauge("engine_report_age_s")
         for name, at in self._reported_at.items():
             self._metrics.gauge("engine_report_age_s", round(now - at, 3), name)
 
--- a/borageworks/gateway/placer.py
+++ b/borageworks/gateway/placer.py
@@ -22,15 +22,15 @@
     refusal_error,
 )
 from borageworks.metrics import Metrics
+from borageworks.placement.cache_update import CacheUpdate
 from borageworks.placement.decisions import Decision, Placed, RefusalReason, Refused
 from borageworks.placement.dispatcher import Dispatcher
-from borageworks.placement.memory_news import CacheUpdate
 from borageworks.placement.outcome import WorkOutcome
-from borageworks.placement.reading_speed import PrefillSpeed
+from borageworks.placement.prefill_speed import PrefillSpeed
 from borageworks.placement.settings import PlacementSettings
 from borageworks.placement.shards import ServiceShards, Shard
 from borageworks.placement.work import Work, WorkKey
-from borageworks.timers import Subscription, Timers
+from borageworks.timers import Timers, TimerSubscription
 from borageworks.wire.messages import (
     Message,
     PlacementState,
@@ -92,7 +92,7 @@
         self._owners: dict[Shard, str] = {}
         self._requests: dict[int, PendingPlacement] = {}
         self._numbers = itertools.count(1)
-        self._tick_timer: Subscription | None = None
+        self._tick_timer: TimerSubscription | None = None
         self._tallies: dict[Shard, OrganisationTally] = {}
 
     @property
--- a/borageworks_emulator/tests/test_fleet.py
+++ b/borageworks_emulator/tests/test_fleet.py
@@ -35,7 +35,7 @@
         """Guards against routers that share a port and settings that `run` rejects."""
         settings = router_settings(PATITSA, 6, "http://127.0.0.1:1")
         pairs = [
-            address.pair
+            address.host_port
             for each in settings
             for address in (each.listen, each.gossip, each.peer)
         ]
@@ -155,9 +155,9 @@
             router._process = await asyncio.create_subprocess_exec(
                 sys.executable, "-c", "import time; time.sleep(60)"
             )
-            router.send(signal.SIGSTOP)
+            router.send_signal(signal.SIGSTOP)
             usage = router.cpu_s, router.memory_mb
-            await router.end()
+            await router.kill()
             return usage, router.alive
 
         with tempfile.TemporaryDirectory() as directory:
