--- a/borageworks/placement/tests/test_components.py
+++ b/borageworks/placement/tests/test_components.py
@@ -69,7 +69,7 @@
         self.assertEqual(0, cache.tokens)
 
 
-class ReadingSpeedTest(TestCase):
+class PrefillSpeedTest(TestCase):
     def test_learns_start_and_speed(self):
         """Guards against a fit that is wrong in either coefficient."""
         speed = PrefillSpeed(10_000.0)
@@ -105,19 +105,21 @@
         def check(steps):
             window = RetryWindow(10.0, 0.2, 20.0)
             now, requests, retries = 0.0, [], []
-            for pause, is_request in steps:
-                now += pause
+            for delay_s, is_request in steps:
+                now += delay_s
                 if is_request:
                     window.record_request(now)
                     requests.append(now)
                 elif window.take(now, 4):
                     retries.append(now)
                 recent = sum(1 for at in retries if at >= now - 10.0)
-                asked = sum(1 for at in requests if at >= now - 10.0)
+                recent_requests = sum(1 for at in requests if at >= now - 10.0)
                 # Requests that a retry was based on may have left the window since.
                 self.assertTrue(recent <= SAFETY_RATIO * (0.2 * len(requests) + 5.0))
                 if not is_request and retries and retries[-1] == now:
-                    self.assertTrue(recent <= SAFETY_RATIO * (0.2 * asked + 5.0) + 1e-9)
+                    self.assertTrue(
+                        recent <= SAFETY_RATIO * (0.2 * recent_requests + 5.0) + 1e-9
+                    )
 
         check()
 
@@ -176,7 +178,7 @@
         for n in range(MAX_CACHED_PARTS + 50):
             shards.find(prompt(shared=10, shared_id=f"x{n}"), "")
         for n in (0, 100, MAX_CACHED_PARTS + 49):
-            asked = prompt(shared=10, shared_id=f"x{n}")
+            lookup = prompt(shared=10, shared_id=f"x{n}")
             self.assertEqual(
-                ServiceShards(names).find(asked, ""), shards.find(asked, "")
+                ServiceShards(names).find(lookup, ""), shards.find(lookup, "")
             )
--- a/borageworks/placement/tests/test_dispatcher.py
+++ b/borageworks/placement/tests/test_dispatcher.py
@@ -158,16 +158,16 @@
             dispatcher.end(now, request.key, outcome)
         return decision
 
-    def break_at_three(self, dispatcher, outcome=WorkOutcome.DISCONNECTED):
+    def fail_at_three_endpoints(self, dispatcher, outcome=WorkOutcome.DISCONNECTED):
         names: list[str] = []
         for step in range(3):
             placed = self.run_once(dispatcher, step * 0.1, outcome, excluded=names)
             names.append(placed.endpoint)
 
-    def test_request_that_breaks_off_at_three_endpoints_is_refused(self):
+    def test_request_that_crashes_three_endpoints_is_refused(self):
         """Guards against a request that crashes one endpoint after another."""
         dispatcher = engine_dispatcher(4)
-        self.break_at_three(dispatcher)
+        self.fail_at_three_endpoints(dispatcher)
         refused = self.run_once(dispatcher, 1.0, WorkOutcome.SERVED)
         self.assertEqual(RefusalReason.SUSPECTED, refused.reason)
         other = self.run_once(dispatcher, 1.0, WorkOutcome.SERVED, b"other")
@@ -176,7 +176,7 @@
     def test_error_responses_are_no_crashes(self):
         """Guards against taking error responses for crashes."""
         dispatcher = engine_dispatcher(4)
-        self.break_at_three(dispatcher, WorkOutcome.FAILED)
+        self.fail_at_three_endpoints(dispatcher, WorkOutcome.FAILED)
         self.assertIsInstance(
             self.run_once(dispatcher, 1.0, WorkOutcome.SERVED), Placed
         )
--- a/borageworks/placement/tests/test_dispatcher_totals.py
+++ b/borageworks/placement/tests/test_dispatcher_totals.py
@@ -97,7 +97,7 @@
         return sorted(self.placed)[number % len(self.placed)]
 
 
-class BookkeepingTest(TestCase):
+class DispatcherTotalsTest(TestCase):
     def check(self, model):
         dispatcher = model.dispatcher
         running = {
@@ -134,7 +134,7 @@
         for step in steps:
             model.step(*step)
             self.check(model)
-        # All waiting requests are decided once their time to wait has passed.
+        # All waiting requests are decided once their maximum wait has passed.
         for _ in range(4):
             model.step("tick", 0, 2.0)
         self.assertEqual([], model.waiting)
--- a/borageworks/placement/tests/test_load_patterns.py
+++ b/borageworks/placement/tests/test_load_patterns.py
@@ -237,5 +237,5 @@
         )
         expected = sum(submitted[name] for name in small)
         refused = sum(simulation.refused.get(name, 0) for name in small)
-        # They send less than their share and are entitled to all of it.
+        # They send less than their fair rate, so their requests have to be served.
         self.assertTrue(refused <= 0.1 * expected, (refused, expected))
