--- a/borageworks/routing/__init__.py
+++ b/borageworks/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Request decisions: endpoint choice, retries, limits and crash suspects."""
+"""Entry queues, demand, retry budgets, rendezvous hashing and crash suspects."""
