--- a/borageworks/fair/tests/test_correction.py
+++ b/borageworks/fair/tests/test_correction.py
@@ -1,4 +1,4 @@
-"""Tests of the corrections, alone and in a simulated fleet of owners."""
+"""Tests of the corrections, individually and in a simulated fleet of owners."""
 
 from itertools import pairwise
 
@@ -20,7 +20,7 @@
 
 
 def simulate_errors(correction, effective_ratio, drift=10.0, exchanges=300):
-    """Return the errors under constant drift if only a ratio of corrections applies."""
+    """Return the errors under constant drift if corrections apply only in part."""
     errors = [100.0]
     for _ in range(exchanges):
         delta = correction.update("a", errors[-1], 1, 1e9)
