--- a/borageworks/gateway/admission.py
+++ b/borageworks/gateway/admission.py
@@ -22,6 +22,7 @@
 # Token bucket size of an organisation, in seconds at its limit. Requests that arrive
 # while the loop lags are processed as one burst.
 BURST_ALLOWANCE_S = 0.5
+# No organisation is limited to fewer requests a second, however overloaded the loop is.
 MIN_LIMIT_PER_S = 0.05
 # The limit is removed when it exceeds the highest request rate by this factor.
 LIMIT_REMOVAL_RATIO = 1.5
--- a/borageworks/gateway/cache_follower.py
+++ b/borageworks/gateway/cache_follower.py
@@ -13,8 +13,8 @@
 from borageworks.metrics import Metrics
 from borageworks.placement.shards import Shard
 
-# An engine replies to a long poll as soon as something changes; the delay between polls
-# bounds the call rate under load.
+# An engine responds to a long poll as soon as something changes; the delay between
+# polls bounds the call rate under load.
 POLL_DELAY_S = 0.4
 LONG_POLL_WAIT_MS = 1000
 CALL_TIMEOUT_S = 1.6
--- a/borageworks/gateway/directory.py
+++ b/borageworks/gateway/directory.py
@@ -101,7 +101,7 @@
         for name in self._grace_until:
             self._grace_until[name] = max(self._grace_until[name], until)
 
-    def mark_gone(self, name: str) -> None:
+    def remove_endpoint(self, name: str) -> None:
         """Remove an endpoint whose address now belongs to another endpoint."""
         if name in self._endpoints:
             self._remove(name)
--- a/borageworks/gateway/exchange.py
+++ b/borageworks/gateway/exchange.py
@@ -257,8 +257,8 @@
                 if self._may_have_run:
                     raise AnswerLostError(str(error)) from error
                 raise
-            waited = self._loop.time() - now
-            self._metrics.observe("placement_wait", waited, exchange.route.name)
+            wait_s = self._loop.time() - now
+            self._metrics.observe("placement_wait", wait_s, exchange.route.name)
             emit(
                 Event.REQUEST_PLACED,
                 request_id=exchange.request.id,
@@ -267,7 +267,7 @@
                 endpoint=placed.endpoint,
                 placed_by=placed.placed_by,
                 unread_tokens=placed.uncached_tokens,
-                waited_s=round(waited, 4),
+                waited_s=round(wait_s, 4),
                 version=exchange.version,
             )
             endpoint = self._directory.endpoints.get(placed.endpoint)
@@ -344,7 +344,7 @@
         await self._discard_refusal_body(endpoint, response)
         self._metrics.count("endpoint_refusals", str(head.status))
         if head.wrong_endpoint:
-            self._directory.mark_gone(endpoint.id)
+            self._directory.remove_endpoint(endpoint.id)
             self._placer.update()
         if not self._may_retry():
             if self._failure_response is not None:
--- a/borageworks/gateway/fleet.py
+++ b/borageworks/gateway/fleet.py
@@ -24,9 +24,9 @@
 
 LINK_KEY = "link-key"
 KEY_BYTES = 32
-# Slightly longer than a restart takes.
+# First exclusion of a suspected instance, slightly longer than a restart takes.
 INITIAL_SUSPICION_S = 1.0
-# Retry interval for an instance that stays unreachable.
+# Longest exclusion, after which an instance that stays unreachable is tried again.
 MAX_SUSPICION_S = 8.0
 # A single late reply within this time does not move ownership: a new owner knows less
 # about the load of the endpoints.
@@ -264,13 +264,13 @@
         )
         self._candidates = None
 
-    def note_message(self, instance: str) -> None:
+    def record_message(self, instance: str) -> None:
         """Record a message from an instance, which ends its suspicion."""
         self._last_message_at[instance] = self._timers.now()
         self._clear(instance)
 
-    def note_timeout(self, instance: str) -> None:
-        """Record an unanswered request; suspect an instance that sends no messages."""
+    def record_timeout(self, instance: str) -> None:
+        """Record a missing reply; suspect an instance that sends no messages."""
         now = self._timers.now()
         if now - self._last_message_at.get(instance, -PEER_TIMEOUT_S) >= PEER_TIMEOUT_S:
             self.suspect(instance)
--- a/borageworks/gateway/frontend.py
+++ b/borageworks/gateway/frontend.py
@@ -256,10 +256,10 @@
         if deployment is None or deployment.organisations is None:
             return NO_ORGANISATION
         api_key = self._codec.caller_api_key(http_request.headers)
-        key_owner = (
+        key_organisation = (
             deployment.organisations.get(api_key) if api_key is not None else None
         )
-        return NO_ORGANISATION if key_owner is None else key_owner.name
+        return NO_ORGANISATION if key_organisation is None else key_organisation.name
 
     def _pick_service(self, route: Route) -> str:
         if len(route.targets) == 1:
@@ -335,13 +335,13 @@
 ) -> str | None:
     if deployment.organisations is None:
         return None
-    key_owner = (
+    key_organisation = (
         deployment.organisations.get(request.api_key)
         if request.api_key is not None
         else None
     )
-    if key_owner is not None:
-        return key_owner.name
+    if key_organisation is not None:
+        return key_organisation.name
     if route.public:
         return None
     raise KeyUnknownError("the API key is missing or unknown")
--- a/borageworks/gateway/gateway.py
+++ b/borageworks/gateway/gateway.py
@@ -212,7 +212,7 @@
         await self._store.close()
 
     def _receive(self, instance: str, message: Message) -> None:
-        self._fleet.note_message(instance)
+        self._fleet.record_message(instance)
         match message:
             case ReplicaNews():
                 self._follower.apply_peer_update(message)
--- a/borageworks/gateway/placer.py
+++ b/borageworks/gateway/placer.py
@@ -50,7 +50,7 @@
 MAX_ACK_TIMEOUT_S = 0.1
 # Loop iterations after which data that has already arrived has been processed.
 READ_LOOP_ITERATIONS = 3
-# Extra time for the owner's decision to arrive after the request's remaining time.
+# Extra time for the owner's decision to arrive after the request's maximum wait.
 DECISION_MARGIN_S = 0.1
 
 
@@ -130,48 +130,48 @@
             )
         owner = self._owner(shard)
         loop = asyncio.get_running_loop()
-        entry = PendingPlacement(
+        pending = PendingPlacement(
             shard, work, owner, loop.create_future(), asyncio.Event()
         )
-        self._requests[work.key[1]] = entry
+        self._requests[work.key[1]] = pending
         try:
             if owner != self._instance:
                 try:
-                    return await self._ask_owner(entry)
+                    return await self._request_from_owner(pending)
                 except PlacementSilentError as error:
-                    self._handle_silent_owner(entry, error)
-            entry.owner = self._instance
+                    self._handle_unresponsive_owner(pending, error)
+            pending.owner = self._instance
             self._submit(shard, work)
-            return await entry.future
+            return await pending.future
         except BaseException as error:
             self._requests.pop(work.key[1], None)
-            if entry.future.done() and not entry.future.cancelled():
+            if pending.future.done() and not pending.future.cancelled():
                 # Marks the exception of a late decision as retrieved.
-                entry.future.exception()
+                pending.future.exception()
             if isinstance(error, asyncio.CancelledError):
-                self._withdraw(entry)
+                self._withdraw(pending)
             raise
 
     def record_start(self, key: WorkKey) -> None:
         """Record that the response to a request has begun."""
-        entry = self._requests.get(key[1])
-        if entry is None or entry.started:
+        pending = self._requests.get(key[1])
+        if pending is None or pending.started:
             return
-        entry.started = True
-        if entry.owner == self._instance:
-            self._start(entry.shard, key)
+        pending.started = True
+        if pending.owner == self._instance:
+            self._start(pending.shard, key)
         else:
-            self._fleet.send(entry.owner, WorkStarted(key[1]))
+            self._fleet.send(pending.owner, WorkStarted(key[1]))
 
     def record_end(self, key: WorkKey, outcome: WorkOutcome) -> None:
         """Record the end of a placed request."""
-        entry = self._requests.pop(key[1], None)
-        if entry is None:
+        pending = self._requests.pop(key[1], None)
+        if pending is None:
             return
-        if entry.owner == self._instance:
-            self._end(entry.shard, key, outcome)
+        if pending.owner == self._instance:
+            self._end(pending.shard, key, outcome)
         else:
-            self._fleet.send(entry.owner, WorkEnded(key[1], int(outcome)))
+            self._fleet.send(pending.owner, WorkEnded(key[1], int(outcome)))
 
     def apply_cache_update(
         self, shard: Shard, endpoint: str, update: CacheUpdate
@@ -264,59 +264,59 @@
         now = self._timers.now()
         for dispatcher in self._dispatchers.values():
             self._deliver(dispatcher.drop_instance(now, instance))
-        for entry in list(self._requests.values()):
-            if entry.owner == instance and not entry.future.done():
-                entry.future.set_exception(
+        for pending in list(self._requests.values()):
+            if pending.owner == instance and not pending.future.done():
+                pending.future.set_exception(
                     PlacementSilentError(f"link to {instance} was lost")
                 )
-                entry.acknowledged.set()
+                pending.acknowledged.set()
         self.review_owners()
 
-    async def _ask_owner(self, entry: PendingPlacement) -> Placed:
-        work = entry.work
-        request = encode_work(entry.shard, work)
-        if not self._fleet.send(entry.owner, request):
-            raise PlacementSilentError(f"no link to {entry.owner}")
+    async def _request_from_owner(self, pending: PendingPlacement) -> Placed:
+        work = pending.work
+        request = encode_work(pending.shard, work)
+        if not self._fleet.send(pending.owner, request):
+            raise PlacementSilentError(f"no link to {pending.owner}")
         ack_timeout_s = min(
             max(ACK_TIMEOUT_RATIO * work.remaining_target_s, MIN_ACK_TIMEOUT_S),
             MAX_ACK_TIMEOUT_S,
         )
         try:
             async with asyncio.timeout(ack_timeout_s):
-                await entry.acknowledged.wait()
+                await pending.acknowledged.wait()
         except TimeoutError as error:
             # If this loop was delayed, the reply may have arrived but not been read.
             for _ in range(READ_LOOP_ITERATIONS):
                 await asyncio.sleep(0)
-            if not entry.acknowledged.is_set():
+            if not pending.acknowledged.is_set():
                 raise PlacementSilentError(
-                    f"no acknowledgement from {entry.owner}"
+                    f"no acknowledgement from {pending.owner}"
                 ) from error
         decision_timeout_s = (
             max(work.max_wait_s, work.remaining_target_s, 0.0) + DECISION_MARGIN_S
         )
         try:
             async with asyncio.timeout(decision_timeout_s):
-                return await entry.future
+                return await pending.future
         except TimeoutError as error:
-            raise PlacementSilentError(f"no decision from {entry.owner}") from error
+            raise PlacementSilentError(f"no decision from {pending.owner}") from error
 
-    def _handle_silent_owner(
-        self, entry: PendingPlacement, error: PlacementSilentError
+    def _handle_unresponsive_owner(
+        self, pending: PendingPlacement, error: PlacementSilentError
     ) -> None:
         self._metrics.count("placements_alone")
         emit(
             Event.PLACED_ALONE,
-            owner=entry.owner,
-            service=entry.shard[0],
+            owner=pending.owner,
+            service=pending.shard[0],
             reason=str(error),
         )
-        self._fleet.send(entry.owner, PlaceWithdraw(entry.work.key[1]))
-        self._fleet.note_timeout(entry.owner)
-        entry.future = asyncio.get_running_loop().create_future()
-        entry.acknowledged.clear()
+        self._fleet.send(pending.owner, PlaceWithdraw(pending.work.key[1]))
+        self._fleet.record_timeout(pending.owner)
+        pending.future = asyncio.get_running_loop().create_future()
+        pending.acknowledged.clear()
         # Replies from the former owner are ignored from here on.
-        entry.owner = self._instance
+        pending.owner = self._instance
         self.review_owners()
 
     def _submit(self, shard: Shard, work: Work) -> None:
@@ -333,12 +333,12 @@
         )
         self._ensure_ticking()
 
-    def _withdraw(self, entry: PendingPlacement) -> None:
-        key = entry.work.key
-        if entry.owner != self._instance:
-            self._fleet.send(entry.owner, PlaceWithdraw(key[1]))
+    def _withdraw(self, pending: PendingPlacement) -> None:
+        key = pending.work.key
+        if pending.owner != self._instance:
+            self._fleet.send(pending.owner, PlaceWithdraw(key[1]))
             return
-        dispatcher = self._dispatchers.get(entry.shard)
+        dispatcher = self._dispatchers.get(pending.shard)
         if dispatcher is not None:
             self._deliver(dispatcher.withdraw(self._timers.now(), key))
 
@@ -389,18 +389,18 @@
         dispatcher.adopt(self._timers.now(), work, endpoint, started)
 
     def _handle_reply(self, instance: str, reply: PlaceReply) -> None:
-        entry = self._requests.get(reply.number)
-        if entry is None or entry.owner != instance or entry.future.done():
+        pending = self._requests.get(reply.number)
+        if pending is None or pending.owner != instance or pending.future.done():
             if reply.state is PlacementState.PLACED and (
-                entry is None or entry.owner != instance
+                pending is None or pending.owner != instance
             ):
                 self._fleet.send(instance, PlaceWithdraw(reply.number))
             return
-        entry.acknowledged.set()
-        key = entry.work.key
+        pending.acknowledged.set()
+        key = pending.work.key
         match reply.state:
             case PlacementState.PLACED:
-                dispatcher = self._dispatchers.get(entry.shard)
+                dispatcher = self._dispatchers.get(pending.shard)
                 if dispatcher is not None and reply.seconds_per_token > 0.0:
                     dispatcher.prefill_speed.adopt(
                         reply.seconds_per_token, reply.start_s
@@ -432,17 +432,21 @@
 
     def _report_running(self, shard: Shard, owner: str) -> None:
         """Report running requests of a shard to its new owner."""
-        for entry in self._requests.values():
-            if entry.shard != shard or entry.endpoint is None or entry.owner == owner:
+        for pending in self._requests.values():
+            if (
+                pending.shard != shard
+                or pending.endpoint is None
+                or pending.owner == owner
+            ):
                 continue
-            request = encode_work(shard, entry.work)
+            request = encode_work(shard, pending.work)
             if owner == self._instance:
-                self._adopt(owner, request, entry.endpoint, entry.started)
+                self._adopt(owner, request, pending.endpoint, pending.started)
             else:
                 self._fleet.send(
-                    owner, WorkRunning(request, entry.endpoint, entry.started)
+                    owner, WorkRunning(request, pending.endpoint, pending.started)
                 )
-            entry.owner = owner
+            pending.owner = owner
 
     def _deliver(
         self, decisions: Iterable[Decision], prefill_speed: PrefillSpeed | None = None
@@ -472,15 +476,15 @@
         return decisions
 
     def _resolve(self, decision: Decision) -> None:
-        entry = self._requests.get(decision.key[1])
-        if entry is None or entry.future.done():
+        pending = self._requests.get(decision.key[1])
+        if pending is None or pending.future.done():
             return
         match decision:
             case Placed():
-                entry.endpoint = decision.endpoint
-                entry.future.set_result(decision)
+                pending.endpoint = decision.endpoint
+                pending.future.set_result(decision)
             case Refused():
-                entry.future.set_exception(refusal_error(decision))
+                pending.future.set_exception(refusal_error(decision))
 
     def _ensure_ticking(self) -> None:
         if self._tick_timer is None and any(
--- a/borageworks/gateway/tests/test_admission.py
+++ b/borageworks/gateway/tests/test_admission.py
@@ -24,7 +24,7 @@
 
 
 class SimulatedInstance:
-    """Event loop that processes all requests that are due in each turn."""
+    """Event loop that processes all requests due in each iteration."""
 
     def __init__(self, rates: dict[str, float], seed: int = 1) -> None:
         self.lag = LoopLag(GATEWAY, Metrics())
@@ -59,9 +59,9 @@
         while self._now < end:
             due = min(arrivals[-1][0] if arrivals else end, self._timer_at, end)
             self._now = max(self._now, due)
-            self._run_turn(arrivals)
+            self._run_iteration(arrivals)
 
-    def _run_turn(self, arrivals):
+    def _run_iteration(self, arrivals):
         now = self._now
         if self._timer_at <= now:
             self.lag.measure(now)
--- a/borageworks/gateway/tests/test_feed.py
+++ b/borageworks/gateway/tests/test_feed.py
@@ -74,7 +74,7 @@
         feed.receive(ReplicaNews(7, 7, feed.timeout_s + 0.01), 7)
         self.assertFalse(feed.updated_by_readers)
 
-    def test_reader_is_not_fed(self):
+    def test_reader_is_not_updated_by_readers(self):
         """Guards against readers that rely on each other instead of the store."""
         feed = self.feed("a")
         feed.receive(ReplicaNews(7, 7, 0.0), 7)
@@ -111,7 +111,7 @@
             [], make_fleet(self.names(MIN_DOMAIN_INSTANCES_FOR_READERS - 2)).readers()
         )
 
-    def test_silent_reader_is_replaced(self):
+    def test_suspected_reader_is_replaced(self):
         """Guards against a failure domain left without readers."""
         fleet = make_fleet(self.names(MIN_DOMAIN_INSTANCES_FOR_READERS))
         readers = fleet.readers()
--- a/borageworks/gateway/tests/test_fleet.py
+++ b/borageworks/gateway/tests/test_fleet.py
@@ -72,12 +72,12 @@
     def test_single_timeout_keeps_owners(self):
         """Guards against ownership that moves after each late reply."""
         fleet = self.fleet(a=1.0)
-        fleet.note_message("a")
+        fleet.record_message("a")
         self.timers.time += PEER_TIMEOUT_S / 2
-        fleet.note_timeout("a")
+        fleet.record_timeout("a")
         self.assertIn("a", self.owners(fleet))
         self.timers.time += PEER_TIMEOUT_S
-        fleet.note_timeout("a")
+        fleet.record_timeout("a")
         self.assertEqual({"i"}, self.owners(fleet))
 
     def test_silent_instance_is_retried_with_backoff(self):
@@ -85,7 +85,7 @@
         fleet = self.fleet(a=1.0)
         suspicion_s = INITIAL_SUSPICION_S
         while suspicion_s < MAX_SUSPICION_S:
-            fleet.note_timeout("a")
+            fleet.record_timeout("a")
             self.timers.time += suspicion_s - 0.01
             self.assertEqual({"i"}, self.owners(fleet))
             self.timers.time += 0.02
@@ -95,8 +95,8 @@
     def test_message_ends_a_suspicion(self):
         """Guards against two owners after a network partition has ended."""
         fleet = self.fleet(a=1.0)
-        fleet.note_timeout("a")
-        fleet.note_message("a")
+        fleet.record_timeout("a")
+        fleet.record_message("a")
         self.assertIn("a", self.owners(fleet))
 
     def test_leaving_instance_owns_nothing(self):
