--- a/borageworks/platform/requests.py
+++ b/borageworks/platform/requests.py
@@ -44,12 +44,16 @@
     headers
         Headers as received.
     """
-    host = headers.get("Host", "").rpartition(":")
+    split_host = headers.get("Host", "").rpartition(":")
     return CallerRequest(
         id=headers.get(protocol_names.REQUEST_ID, ""),
         method=method,
         target=target,
-        host=(host[0] if host[1] and host[2].isdigit() else headers.get("Host", ""))
+        host=(
+            split_host[0]
+            if split_host[1] and split_host[2].isdigit()
+            else headers.get("Host", "")
+        )
         .strip()
         .lower(),
         path=target.partition("?")[0],
--- a/borageworks/platform/store.py
+++ b/borageworks/platform/store.py
@@ -41,11 +41,11 @@
 # A watch call on an unresponsive connection times out this long before the time limit
 # for applying changes made after the store is considered stable again.
 WATCH_TIMEOUT_RESERVE_S = 0.8
-WATCH_WAIT_MIN_S = 1.0
+MIN_WATCH_WAIT_S = 1.0
 # Changes in quick succession, for example when a fleet starts, are read in one call.
 WATCH_INTERVAL_S = 0.5
-RETRY_DELAY_INITIAL_S = 0.1
-RETRY_DELAY_MAX_S = 0.8
+INITIAL_BACKOFF_S = 0.1
+MAX_BACKOFF_S = 0.8
 STATUS_OK = 200
 STATUS_NOT_FOUND = 404
 STATUS_COMPACTED = 410
@@ -75,7 +75,7 @@
             + settings.config_apply_s
             - WATCH_REPLY_MARGIN_S
             - WATCH_TIMEOUT_RESERVE_S,
-            WATCH_WAIT_MIN_S,
+            MIN_WATCH_WAIT_S,
         )
         self._recovered = asyncio.Event()
         self._metrics = metrics
@@ -135,7 +135,7 @@
             query = {"prefix": prefix, "after": max(page)}
 
     async def commit(self, transaction: Transaction) -> CommitResult:
-        """Apply `transaction` if all its conditions hold."""
+        """Apply `transaction` if all of its compares succeed."""
         lease = 0 if transaction.lease is None else transaction.lease.id
         request = {
             "expect": [
@@ -211,7 +211,7 @@
         allow if it returns None.
         """
         after = start_revision - 1
-        delay = RETRY_DELAY_INITIAL_S
+        backoff_s = INITIAL_BACKOFF_S
         while True:
             requested_wait_s = wait_s()
             call_wait_s = (
@@ -232,15 +232,15 @@
                 batches = _decode_batches(reply)
                 reached_revision = int(reply["store_revision"])
             except (StoreUnavailableError, StoreReplyMalformedError):
-                await asyncio.sleep(delay)
-                delay = min(delay * 2, RETRY_DELAY_MAX_S)
+                await asyncio.sleep(backoff_s)
+                backoff_s = min(backoff_s * 2, MAX_BACKOFF_S)
                 continue
             except (KeyError, TypeError, ValueError) as error:
                 self._metrics.count("store_failures", "watch_malformed")
                 emit(Event.STORE_REPLY_MALFORMED, call="watch", error=repr(error))
-                await asyncio.sleep(delay)
+                await asyncio.sleep(backoff_s)
                 continue
-            delay = RETRY_DELAY_INITIAL_S
+            backoff_s = INITIAL_BACKOFF_S
             for batch in batches:
                 yield batch
             after = max(after, reached_revision)
--- a/borageworks/platform/tests/test_decoding.py
+++ b/borageworks/platform/tests/test_decoding.py
@@ -93,8 +93,8 @@
 
 
 class ConfigurationTest(TestCase):
-    def test_repeat_policy_follows_the_route_type(self):
-        """Guards against repeating requests of a non-idempotent route."""
+    def test_retry_policy_follows_the_route_type(self):
+        """Guards against retrying requests of a non-idempotent route."""
         deployment = decode_configuration(orjson.dumps(configuration()))
         policies = {
             item.name: (item.retry_policy, item.stream) for item in deployment.routes
