--- a/borageworks/endpoints/stream.py
+++ b/borageworks/endpoints/stream.py
@@ -28,7 +28,7 @@
     done
         Whether this is the end marker.
     only_usage
-        Whether the event has no choices, as the usage event of a stream.
+        Whether the event has no choices, like the usage event that ends a stream.
     """
 
     raw: bytes
--- a/borageworks/endpoints/tests/test_clients.py
+++ b/borageworks/endpoints/tests/test_clients.py
@@ -274,7 +274,7 @@
             self.assertFalse(progress.sent)
 
     def test_request_may_have_run_if_connection_closes_without_response(self):
-        """Guards against repeating such a request, also by the HTTP library."""
+        """Guards against retries of a request that may have run, also by aiohttp."""
         for method in ("POST", "GET"):
             call = make_call(stream=False, idempotent=False)
             call = Call(**{**_fields(call), "method": method})
@@ -292,7 +292,7 @@
         self.assertTrue(progress.sent)
 
     def test_refusal_of_non_idempotent_request_may_have_run(self):
-        """Guards against repeating a non-idempotent request after a 503."""
+        """Guards against retries of a non-idempotent request after a 503."""
         response = response_head(503, "text/plain", "Content-Length: 4") + b"\r\nbusy"
         result, _, progress, _ = self.exchange("plain", make_call(), response)
         self.assertIsInstance(result, EndpointRefusedError)
