--- a/borageworks/wire/codec.py
+++ b/borageworks/wire/codec.py
@@ -36,7 +36,7 @@
 
 def _camel_case(name: str) -> str:
     head, *tail = name.split("_")
-    return head + "".join(part.title() for part in tail)
+    return head + "".join(word.title() for word in tail)
 
 
 def _unchanged(value: Any) -> Any:
--- a/borageworks/wire/links.py
+++ b/borageworks/wire/links.py
@@ -25,7 +25,7 @@
 )
 
 MAX_QUEUE_BYTES = 8 << 20  # per peer, of estimated message sizes
-MESSAGE_OVERHEAD_BYTES = 128  # estimate, without the variable part
+MESSAGE_OVERHEAD_BYTES = 128  # estimate, without fields of variable size
 # Bounds the estimated size; leaves room for the error of the estimate.
 MAX_BATCH_BYTES = MAX_FRAME_BYTES // 2
 MAX_DEFERRABLE_DELAY_S = 0.5
@@ -236,7 +236,8 @@
             and peer.retry_timer is not None
             and not peer.queue_while_retrying
         ):
-            # Connecting has just failed; a message sent late could do harm.
+            # Connecting has just failed. The message is dropped, since the receiver
+            # could act wrongly on a message that arrives late.
             peer.reconnect_on_retry = True
             self._metrics.count("peer_messages_dropped", "unreachable")
             return False
--- a/borageworks/wire/messages.py
+++ b/borageworks/wire/messages.py
@@ -393,8 +393,8 @@
     """Changes of the platform's store, for an instance that does not read it itself.
 
     They update a copy from revision `after` to `revision`. `lapse_grace_s` is the grace
-    period in which endpoints are still used after their entry has gone; `age_s` is the
-    time since the store confirmed `revision`.
+    period in which endpoints are still used after their entry was deleted; `age_s` is
+    the time since the store confirmed `revision`.
     """
 
     after: int
--- a/borageworks/wire/tests/test_links.py
+++ b/borageworks/wire/tests/test_links.py
@@ -93,7 +93,7 @@
         asyncio.run(run())
 
     def test_order_and_batches(self):
-        """Guards against lost, repeated or reordered messages and a write for each."""
+        """Guards against lost, repeated or reordered messages and unbatched writes."""
 
         async def scenario(a, b):
             a.set_address_of(b)
