--- a/borageworks/commands/tests/test_commands.py
+++ b/borageworks/commands/tests/test_commands.py
@@ -99,7 +99,7 @@
         self.assertEqual(6, self.store.calls["close"])
 
     def test_ticket_errors_have_distinct_exit_codes(self):
-        """Guards against scripts that cannot tell a conflict from an outage."""
+        """Guards against scripts that cannot distinguish a conflict from an outage."""
 
         def apply(document, code, *options):
             path = self.write("ticket.json", document)
--- a/borageworks/commands/tests/test_explain.py
+++ b/borageworks/commands/tests/test_explain.py
@@ -66,7 +66,7 @@
         self.assertIn("skipped 4 lines that are not log events", result.stderr)
 
     def test_unknown_request_fails(self):
-        """Guards against success without output for a mistyped id."""
+        """Guards against success without output for a mistyped ID."""
         result = self.run_explain("r9", b"\n".join(LOG_LINES))
         self.assertEqual(1, result.exit_code)
         self.assertIn("no log event found for request 'r9'", result.stderr)
--- a/borageworks/commands/timeline.py
+++ b/borageworks/commands/timeline.py
@@ -95,7 +95,7 @@
 
     @property
     def found(self) -> bool:
-        """Whether any event has the request's id."""
+        """Whether any event has the request's ID."""
         return bool(self._matches)
 
     def lines(self) -> Iterator[str]:
