--- a/borageworks/api/server.py
+++ b/borageworks/api/server.py
@@ -66,7 +66,7 @@
         self._replica = replica
         self._backend = backend
         self._metrics = metrics
-        # A restarted instance must not reuse request ids that endpoints still remember.
+        # A restarted instance must not reuse request IDs that endpoints still remember.
         self._request_id_prefix = f"{settings.instance}-{secrets.token_hex(4)}"
         self._request_numbers = itertools.count(1)
         self._runner: web.AppRunner | None = None
--- a/borageworks/exceptions.py
+++ b/borageworks/exceptions.py
@@ -149,7 +149,7 @@
 
 
 class EndpointReplyCrossedError(EndpointFailedError):
-    """The endpoint's response has the id of another request."""
+    """The endpoint's response has the ID of another request."""
 
     code = "endpoint_reply_crossed"
 
