--- a/borageworks/router/entry.py
+++ b/borageworks/router/entry.py
@@ -186,7 +186,7 @@
         self._queue.check_bounds(self._timers.now(), call.organisation)
 
     def receive_isolated_grant(self, sender: str, message: AloneGrant) -> None:
-        """Assign the endpoint to the request that waits in isolation, or return it."""
+        """Assign the endpoint to the isolated request that waits, or return it."""
         waiting = self._isolated.pop(message.request_id, None)
         if waiting is None:
             self._slots.return_unused(sender, message.grant)
--- a/borageworks/router/isolation.py
+++ b/borageworks/router/isolation.py
@@ -1,4 +1,4 @@
-"""Demands that wait at an owner for an endpoint in isolation."""
+"""Queue of the demands of isolated requests at an owner."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class IsolationQueue:
-    """Demands for an endpoint in isolation, first come first served per pool."""
+    """Demands of isolated requests, first come first served per pool."""
 
     def __init__(self) -> None:
         self._waiting: OrderedDict[IsolationKey, _WaitingDemand] = OrderedDict()
--- a/borageworks/router/owned_endpoint.py
+++ b/borageworks/router/owned_endpoint.py
@@ -36,7 +36,7 @@
     missed_reports
         Number of consecutive load reports that failed.
     reserved
-        Whether the endpoint is reserved for a request in isolation.
+        Whether the endpoint is reserved for an isolated request.
     broken_requests
         Requests that were running when connections to this incarnation broke, by
         fingerprint; retained until a later load report shows whether it crashed.
--- a/borageworks/router/owner.py
+++ b/borageworks/router/owner.py
@@ -126,7 +126,9 @@
     def set_owned(self, endpoints: Mapping[str, Endpoint]) -> None:
         """Take over the given endpoints and give up all others."""
         now = self._timers.now()
-        for endpoint_id in [name for name in self._owned if name not in endpoints]:
+        for endpoint_id in [
+            endpoint_id for endpoint_id in self._owned if endpoint_id not in endpoints
+        ]:
             self._recall(self._owned[endpoint_id].endpoint.pool, endpoint_id)
             # Entry instances report the slots in use to the new owner.
             for grant in self._grants.at_endpoint(endpoint_id):
@@ -152,8 +154,8 @@
             self._timers.after(TAKEOVER_GRACE_S, lambda _: self._grant_all())
             self._poll(endpoint)
         owned_pools = {owned.endpoint.pool for owned in self._owned.values()}
-        for name, pool in self._pools.items():
-            if name not in owned_pools:
+        for pool_name, pool in self._pools.items():
+            if pool_name not in owned_pools:
                 pool.clear_demand()
 
     def receive(self, sender: str, message: OwnerMessage) -> None:
@@ -183,8 +185,8 @@
             self._grants.pop(grant.grant_id)
             self._settle(grant, grant.received_units)
             freed_pools.add(grant.pool)
-        for name in freed_pools:
-            self._grant_slots(name)
+        for pool_name in freed_pools:
+            self._grant_slots(pool_name)
 
     def _update(self, owned: OwnedEndpoint, endpoint: Endpoint, now: float) -> None:
         if endpoint == owned.endpoint:
@@ -194,10 +196,10 @@
         owned.window.configure(endpoint.window_initial, endpoint.window_max)
         owned.endpoint = endpoint
 
-    def _pool(self, name: str) -> OwnedPool:
-        pool = self._pools.get(name)
+    def _pool(self, pool_name: str) -> OwnedPool:
+        pool = self._pools.get(pool_name)
         if pool is None:
-            pool = self._pools[name] = OwnedPool()
+            pool = self._pools[pool_name] = OwnedPool()
         return pool
 
     def _update_demand(self, sender: str, demand: Demand) -> None:
@@ -214,42 +216,47 @@
         )
         self._grant_slots(demand.pool)
 
-    def _grant_slots(self, name: str) -> None:
-        pool = self._pool(name)
+    def _grant_slots(self, pool_name: str) -> None:
+        pool = self._pool(pool_name)
         now = self._timers.now()
-        self._grant_isolated(name, now)
-        while (owned := self._least_used(name, now)) is not None:
+        self._grant_isolated(pool_name, now)
+        while (owned := self._least_used(pool_name, now)) is not None:
             selection = pool.queue.take(now)
             if selection is None:
                 return
             grant = self._issue(owned, selection.entry, selection.organisation, now)
             self._send(selection.entry, grant)
         if pool.queue.backlogged():
-            self._recall(name)
+            self._recall(pool_name)
 
-    def _grant_isolated(self, name: str, now: float) -> None:
-        """Reserve an endpoint for a request in isolation; grant it once it is idle."""
-        if not self._isolation.has_waiting(now, name):
+    def _grant_isolated(self, pool_name: str, now: float) -> None:
+        """Reserve an endpoint for an isolated request; grant it once it is idle."""
+        if not self._isolation.has_waiting(now, pool_name):
             return
         pool_endpoints = [
-            each for each in self._owned.values() if each.endpoint.pool == name
+            candidate
+            for candidate in self._owned.values()
+            if candidate.endpoint.pool == pool_name
         ]
         if any(owned.broken_requests for owned in pool_endpoints):
             # The next request may be a copy of one that has just crashed an endpoint.
             return
         candidates = [
-            each for each in pool_endpoints if each.up and now >= each.grants_from
+            candidate
+            for candidate in pool_endpoints
+            if candidate.up and now >= candidate.grants_from
         ]
         if not candidates:
             return
         owned = min(
-            candidates, key=lambda each: (not each.reserved, each.window.in_use)
+            candidates,
+            key=lambda candidate: (not candidate.reserved, candidate.window.in_use),
         )
         owned.reserved = True
-        self._recall(name, owned.endpoint.id)
+        self._recall(pool_name, owned.endpoint.id)
         if owned.window.in_use:
             return
-        waiting = self._isolation.pop(now, name)
+        waiting = self._isolation.pop(now, pool_name)
         assert waiting is not None
         entry, demand = waiting
         grant = self._issue(owned, entry, demand.organisation, now, isolated=True)
@@ -264,16 +271,16 @@
         *,
         isolated: bool = False,
     ) -> Grant:
-        name = owned.endpoint.pool
-        pool = self._pool(name)
+        pool_name = owned.endpoint.pool
+        pool = self._pool(pool_name)
         owned.window.force_acquire(now)
-        estimate = pool.costs.estimate(organisation, name, None)
+        estimate = pool.costs.estimate(organisation, pool_name, None)
         pool.queue.charge(organisation, estimate)
         grant = IssuedGrant(
             self._grants.new_id(),
             entry,
             owned.endpoint.id,
-            name,
+            pool_name,
             organisation,
             estimate,
             isolated=isolated,
@@ -281,7 +288,9 @@
         )
         self._grants.add(grant)
         self._metrics.count("grants", "alone" if isolated else "shared")
-        return Grant(grant.grant_id, grant.endpoint, name, organisation, grant.standing)
+        return Grant(
+            grant.grant_id, grant.endpoint, pool_name, organisation, grant.standing
+        )
 
     def _has_reserve(self, owned: OwnedEndpoint, now: float) -> bool:
         return owned.free_slots(now) >= STANDING_RESERVE_RATIO * owned.window.limit
@@ -294,8 +303,8 @@
             self._send(entry, Recall(pool, endpoint))
 
     def _grant_all(self) -> None:
-        for name in list(self._pools):
-            self._grant_slots(name)
+        for pool_name in list(self._pools):
+            self._grant_slots(pool_name)
 
     def _least_used(self, pool: str, now: float) -> OwnedEndpoint | None:
         candidates = [
--- a/borageworks/router/ownership.py
+++ b/borageworks/router/ownership.py
@@ -34,7 +34,7 @@
         }
 
     def owners_for(self, instance: str, domain: str) -> dict[str, list[str]]:
-        """Return each pool's owners in the order in which an entry notifies them.
+        """Return each pool's owners in the order in which an entry sends them demand.
 
         The instance itself comes first, since it needs no network message, then owners
         in its domain, then the others. Within each group the order differs between
--- a/borageworks/router/service_exchange.py
+++ b/borageworks/router/service_exchange.py
@@ -135,24 +135,28 @@
 
     def _report_all(self, now: float) -> None:
         domains = self._members_by_domain()
-        for name, pool in self._owner.pools.items():
-            self._report(name, pool, domains)
-        for name in [name for name in self._pools if name not in self._owner.pools]:
-            del self._pools[name]
+        for pool_name, pool in self._owner.pools.items():
+            self._report(pool_name, pool, domains)
+        for pool_name in [
+            pool_name for pool_name in self._pools if pool_name not in self._owner.pools
+        ]:
+            del self._pools[pool_name]
 
     def _report(
-        self, name: str, pool: OwnedPool, domains: Mapping[str, list[str]]
+        self, pool_name: str, pool: OwnedPool, domains: Mapping[str, list[str]]
     ) -> None:
-        state = self._pools.get(name)
+        state = self._pools.get(pool_name)
         if state is None:
-            state = self._pools[name] = _PoolState(DriftCorrection(self._settings.fair))
+            state = self._pools[pool_name] = _PoolState(
+                DriftCorrection(self._settings.fair)
+            )
         state.correction.end_exchange()
         self._update_shares(pool, state)
         total = pool.served_total
         state.interval_units = total - state.served_total
         state.served_total = total
         aggregator = rendezvous(
-            _aggregator_key(name), domains.get(self._settings.domain, [])
+            _aggregator_key(pool_name), domains.get(self._settings.domain, [])
         )
         if aggregator is None:
             return
@@ -168,7 +172,7 @@
             self._send(
                 aggregator,
                 ServiceReport(
-                    pool=name,
+                    pool=pool_name,
                     organisation=organisation,
                     owner=self._settings.instance,
                     incarnation=self._incarnation,
@@ -212,12 +216,12 @@
         """Apply the owner counts received in the last exchange."""
         pool.set_owner_counts(state.owner_counts)
         state.backlogged_shares = 0.0
-        for name in pool.queue.backlogged():
-            organisation = self._replica.organisations.get(name)
+        for organisation_id in pool.queue.backlogged():
+            organisation = self._replica.organisations.get(organisation_id)
             if organisation is not None:
-                pool.set_share(name, organisation.share)
+                pool.set_share(organisation_id, organisation.share)
                 state.backlogged_shares += organisation.share / state.owner_counts.get(
-                    name, 1
+                    organisation_id, 1
                 )
         state.owner_counts = {}
 
--- a/borageworks/router/standing_slots.py
+++ b/borageworks/router/standing_slots.py
@@ -7,7 +7,8 @@
 
 from borageworks.router.granted_slot import GrantedSlot
 
-# Idle slots are returned after this time, so that idle entries hold no capacity.
+# Idle slots are returned after this time, so that idle entry instances occupy no
+# capacity.
 MAX_IDLE_S = 1.0
 
 
--- a/borageworks/router/tests/fake_network.py
+++ b/borageworks/router/tests/fake_network.py
@@ -211,7 +211,10 @@
 
 
 class FakeNetwork:
-    """Delivers messages between connected instances in the next loop iteration."""
+    """Delivers messages in order, in the next loop iteration.
+
+    An instance can be disconnected, which loses its messages.
+    """
 
     def __init__(self, replica: Replica, names: str, **sections: Any) -> None:
         self.endpoints = FakeEndpoints()
