--- a/borageworks/claims/service.py
+++ b/borageworks/claims/service.py
@@ -252,7 +252,9 @@
             return reply
         if reply.outcome is not ClaimOutcome.DUPLICATE:
             return reply
-        abandoned = [c for c in self._abandoned.values() if c.key_hash == key_hash]
+        abandoned = [
+            claim for claim in self._abandoned.values() if claim.key_hash == key_hash
+        ]
         for claim in abandoned:
             if claim.request_id in self._pending_replies:
                 continue
