--- a/borageworks/membership/domain_view.py
+++ b/borageworks/membership/domain_view.py
@@ -14,7 +14,7 @@
 
 
 def is_summary(update: MemberUpdate) -> bool:
-    """Whether an update is a bridge's summary of a domain instead of a member."""
+    """Return whether an update is a summary of a domain, not a member's state."""
     return update.instance.startswith(SUMMARY_PREFIX)
 
 
@@ -41,7 +41,7 @@
 
     @property
     def unreachable(self) -> frozenset[str]:
-        """Domains that are unreachable."""
+        """Other domains that all reporting bridges found unreachable."""
         return frozenset(self._unreachable)
 
     @property
--- a/borageworks/membership/membership.py
+++ b/borageworks/membership/membership.py
@@ -178,7 +178,7 @@
 
     @property
     def own(self) -> MemberUpdate:
-        """Own state of the instance."""
+        """State of the local instance."""
         return self._own
 
     @property
