--- a/borageworks/catalog/sync.py
+++ b/borageworks/catalog/sync.py
@@ -187,14 +187,16 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    def on_catalog_version(self, instance: str, revision: int, content: int) -> None:
+    def on_catalog_version(
+        self, instance: str, revision: int, content_hash: int
+    ) -> None:
         """Process the replica version that a peer reported in a heartbeat."""
-        if content == self._replica.version()[1]:
+        if content_hash == self._replica.version()[1]:
             self._replica.advance_revision(revision)
             self._differing_versions.pop(instance, None)
             self._lagging_since.pop(instance, None)
         else:
-            self._differing_versions[instance] = (revision, content)
+            self._differing_versions[instance] = (revision, content_hash)
 
     def receive(self, sender: str, message: Message) -> None:
         """Handle a message from a peer; malformed content is counted and dropped."""
@@ -376,11 +378,11 @@
             for peer, since in self._lagging_since.items()
             if peer in members
         }
-        content = self._replica.version()[1]
+        content_hash = self._replica.version()[1]
         candidates = [
             peer
             for peer in members
-            if peer in differing and differing[peer][1] != content
+            if peer in differing and differing[peer][1] != content_hash
         ]
         if candidates:
             newest = max(differing[peer][0] for peer in candidates)
@@ -416,7 +418,10 @@
             self._load_task = self._spawn(self._load_initial())
 
     async def _load_initial(self) -> None:
-        """Retry the load from the store until it or a peer gave a configuration."""
+        """Load from the store, with retries, until there is a configuration.
+
+        It may also come from a peer, which ends the retries.
+        """
         delay = RETRY_INITIAL_S
         while not self._replica.revision:
             try:
