--- a/borageworks_emulator/engine.py
+++ b/borageworks_emulator/engine.py
@@ -398,18 +398,18 @@
             "model": body.get("model", ""),
         }
         frame_start, frame_end = _chunk_frame(chunk)
-        sent = 0
+        sent_count = 0
         while True:
             job.progressed.clear()
             pending_events = bytearray()
-            while sent < job.generated_count:
-                if cut and sent >= self.faults.cut_chunks:
+            while sent_count < job.generated_count:
+                if cut and sent_count >= self.faults.cut_chunks:
                     await response.write(bytes(pending_events))
                     return self._cut_stream(request, response, job)
                 pending_events += (
-                    frame_start + job.unsent_text(sent).encode() + frame_end
+                    frame_start + job.unsent_text(sent_count).encode() + frame_end
                 )
-                sent += 1
+                sent_count += 1
             if pending_events:
                 await response.write(bytes(pending_events))
             if job.finished:
@@ -418,8 +418,8 @@
             if job.crashed:
                 # The connection is aborted, so this response is never written.
                 return web.Response()
-        reason = "length" if job.at_token_limit else "stop"
-        chunk["choices"] = [{"index": 0, "delta": {}, "finish_reason": reason}]
+        finish_reason = "length" if job.at_token_limit else "stop"
+        chunk["choices"] = [{"index": 0, "delta": {}, "finish_reason": finish_reason}]
         final_events = b"data: " + orjson.dumps(chunk) + b"\n\n"
         if (body.get("stream_options") or {}).get("include_usage"):
             chunk["choices"], chunk["usage"] = [], job.usage
--- a/borageworks_emulator/fleet.py
+++ b/borageworks_emulator/fleet.py
@@ -86,7 +86,10 @@
 
     def __init__(self, settings: list[Settings], directory: Path) -> None:
         self.directory = directory
-        self.routers = [RouterProcess(each, directory) for each in settings]
+        self.routers = [
+            RouterProcess(instance_settings, directory)
+            for instance_settings in settings
+        ]
         self._session: aiohttp.ClientSession | None = None
 
     @property
--- a/borageworks_emulator/load.py
+++ b/borageworks_emulator/load.py
@@ -295,8 +295,8 @@
                 return
             succeeded = await self._send_request(planned)
             if not succeeded:
-                # Refused callers pause: without a delay they would flood the fleet with
-                # more requests than the trace intends.
+                # Without a pause after each refusal or failure, callers would flood the
+                # fleet with more requests than the trace intends.
                 await asyncio.sleep(0.1)
 
     async def _send_request(self, planned: PlannedRequest) -> bool:
--- a/borageworks_emulator/platform/tests/test_entry_overload.py
+++ b/borageworks_emulator/platform/tests/test_entry_overload.py
@@ -20,8 +20,8 @@
 FLOOD_CALLERS = 600
 # The instance is overloaded by the flood before the measurement starts.
 WARM_UP_S = 1.0
-# Required: an organisation that sends less than its share loses at most
-# `MAX_LOST_REQUESTS` in any window.
+# An organisation that sends less than its share may lose at most `MAX_LOST_REQUESTS`
+# requests in any window of this length.
 WINDOW_S = 6
 MAX_LOST_REQUESTS = 3
 SMALL_RATE_PER_S = 10
--- a/borageworks_emulator/platform/tests/test_faults.py
+++ b/borageworks_emulator/platform/tests/test_faults.py
@@ -176,7 +176,7 @@
     def test_shutdown_finishes_streams_and_refuses_late_requests(self):
         """Guards against a shutdown that cuts running responses."""
         slow = EmulatedEndpoint(
-            "i-e", lambda _r: Behaviour(events=50, event_interval_s=0.05)
+            "i-e", lambda _request: Behaviour(events=50, event_interval_s=0.05)
         )
 
         async def main():
@@ -231,7 +231,7 @@
 
     def test_two_instances_together_respect_the_slots(self):
         """Guards against instances that each fill all slots of an endpoint."""
-        busy = EmulatedEndpoint("i-1", lambda _r: Behaviour(hang=True))
+        busy = EmulatedEndpoint("i-1", lambda _request: Behaviour(hang=True))
 
         async def main():
             endpoints = {
--- a/borageworks_emulator/platform/tests/test_feed.py
+++ b/borageworks_emulator/platform/tests/test_feed.py
@@ -93,8 +93,8 @@
         """Guards against waiting for readers that cannot reach the store."""
 
         async def scenario(fleet):
-            fed = self.updated_by_readers(fleet)
-            readers = [harness for harness in fleet if harness not in fed]
+            non_readers = self.updated_by_readers(fleet)
+            readers = [harness for harness in fleet if harness not in non_readers]
             for harness in readers:
                 # The readers reach neither the store nor their peers.
                 harness.platform_store._base_url = "http://127.0.0.1:1"
@@ -106,7 +106,7 @@
                 return all(
                     [
                         (await harness.send_request("/book/"))[0] == 404
-                        for harness in fed
+                        for harness in non_readers
                     ]
                 )
 
--- a/borageworks_emulator/platform/tests/test_responses.py
+++ b/borageworks_emulator/platform/tests/test_responses.py
@@ -55,7 +55,7 @@
         """Guards against a gateway that alters responses."""
         behaviour = Behaviour(plain_body=True)
         status, headers, body, endpoints = self.send_request(
-            PLAIN_SERVICE, lambda _r: behaviour, "/book/a?b=c"
+            PLAIN_SERVICE, lambda _request: behaviour, "/book/a?b=c"
         )
         (run,) = all_runs(endpoints)
         self.assertEqual(200, status)
@@ -69,7 +69,7 @@
         """Guards against leaking API keys to endpoints and accepting forged headers."""
         *_, endpoints = self.send_request(
             PLAIN_SERVICE,
-            lambda _r: Behaviour(plain_body=True),
+            lambda _request: Behaviour(plain_body=True),
             "/book/",
             X_Borageworks_Tenant="other",
             X_Borageworks_Hold="h",
@@ -99,7 +99,7 @@
 
     def test_stream_that_must_not_run_twice_is_cut(self):
         """Guards against a second run, and a truncated stream that looks complete."""
-        endpoints = endpoint_pair(lambda _r: Behaviour(reset_after_events=2))
+        endpoints = endpoint_pair(lambda _request: Behaviour(reset_after_events=2))
 
         async def scenario(harness):
             try:
@@ -131,7 +131,7 @@
     def test_endpoints_own_failure_is_passed_on_when_retries_fail_too(self):
         """Guards against altering the status or seal of an endpoint's failure."""
         status, headers, body, endpoints = self.send_request(
-            PLAIN_SERVICE, lambda _r: Behaviour(status=500), "/look/"
+            PLAIN_SERVICE, lambda _request: Behaviour(status=500), "/look/"
         )
         self.assertEqual((500, 2), (status, len(all_runs(endpoints))))
         self.assertEqual(
@@ -150,7 +150,7 @@
     def test_refusal_by_all_endpoints_gives_503_with_retry_after(self):
         """Guards against a refusal without a usable Retry-After."""
         status, headers, _, endpoints = self.send_request(
-            PLAIN_SERVICE, lambda _r: Behaviour(not_run=True), "/book/"
+            PLAIN_SERVICE, lambda _request: Behaviour(not_run=True), "/book/"
         )
         self.assertEqual((503, []), (status, all_runs(endpoints)))
         self.assertTrue(0 < float(headers["Retry-After"]) < 3)
@@ -158,7 +158,9 @@
     def test_response_without_a_seal_is_not_passed_on(self):
         """Guards against a success that the endpoint has not sealed."""
         status, *_ = self.send_request(
-            PLAIN_SERVICE, lambda _r: Behaviour(sealed=False, plain_body=True), "/book/"
+            PLAIN_SERVICE,
+            lambda _request: Behaviour(sealed=False, plain_body=True),
+            "/book/",
         )
         self.assertEqual(502, status)
 
@@ -166,7 +168,7 @@
         """Guards against passing on the response to another request."""
         status, *_ = self.send_request(
             PLAIN_SERVICE,
-            lambda _r: Behaviour(stated_request_id="other", plain_body=True),
+            lambda _request: Behaviour(stated_request_id="other", plain_body=True),
             "/book/",
         )
         self.assertEqual(502, status)
@@ -174,13 +176,13 @@
     def test_503_without_not_executed_header_is_replaced(self):
         """Guards against passing on 503 for a request that may have run."""
         status, *_ = self.send_request(
-            PLAIN_SERVICE, lambda _r: Behaviour(status=503), "/book/"
+            PLAIN_SERVICE, lambda _request: Behaviour(status=503), "/book/"
         )
         self.assertEqual(502, status)
 
     def test_response_without_length_that_is_reset_is_truncated(self):
         """Guards against a truncated response that looks complete."""
-        endpoints = endpoint_pair(lambda _r: Behaviour(without_length=True))
+        endpoints = endpoint_pair(lambda _request: Behaviour(without_length=True))
 
         async def scenario(harness):
             try:
@@ -194,7 +196,7 @@
         """Guards against responding after the caller's deadline."""
         status, *_ = self.send_request(
             PLAIN_SERVICE,
-            lambda _r: Behaviour(hang=True),
+            lambda _request: Behaviour(hang=True),
             "/book/",
             X_Borageworks_Deadline_Remaining="300",
         )
@@ -202,7 +204,7 @@
 
     def test_caller_disconnect_cancels_the_run(self):
         """Guards against endpoints that go on working after the caller has left."""
-        endpoints = endpoint_pair(lambda _r: Behaviour(event_interval_s=0.2))
+        endpoints = endpoint_pair(lambda _request: Behaviour(event_interval_s=0.2))
 
         async def scenario(harness):
             async with harness.session.post(
@@ -221,7 +223,7 @@
     def test_crashing_request_reaches_at_most_three_endpoints(self):
         """Guards against one request that crashes all endpoints through retries."""
         endpoints = [
-            EmulatedEndpoint(f"i-{n}", lambda _r: Behaviour(reset_after_events=0))
+            EmulatedEndpoint(f"i-{n}", lambda _request: Behaviour(reset_after_events=0))
             for n in range(6)
         ]
 
@@ -237,13 +239,15 @@
         """Guards against 503 for a request that an earlier attempt may have run."""
         behaviours = iter((Behaviour(reset_after_events=0), Behaviour(not_run=True)))
         status, _, _, endpoints = self.send_request(
-            PLAIN_SERVICE, lambda _r: next(behaviours), "/look/"
+            PLAIN_SERVICE, lambda _request: next(behaviours), "/look/"
         )
         self.assertEqual((502, 1), (status, len(all_runs(endpoints))))
 
     def test_replaced_endpoint_gets_no_requests(self):
         """Guards against sending a request to an endpoint that reuses an address."""
-        successor = EmulatedEndpoint("i-new", lambda _r: Behaviour(plain_body=True))
+        successor = EmulatedEndpoint(
+            "i-new", lambda _request: Behaviour(plain_body=True)
+        )
 
         async def scenario(harness):
             replaced = EmulatedEndpoint("i-gone")
@@ -258,7 +262,7 @@
 
     def test_unreachable_endpoint_is_skipped(self):
         """Guards against failures while another endpoint is available."""
-        endpoints = endpoint_pair(lambda _r: Behaviour(plain_body=True))
+        endpoints = endpoint_pair(lambda _request: Behaviour(plain_body=True))
 
         async def scenario(harness):
             await endpoints[0].stop()
--- a/borageworks_emulator/platform/tests/test_unbounded_response.py
+++ b/borageworks_emulator/platform/tests/test_unbounded_response.py
@@ -31,26 +31,33 @@
 class UnboundedResponseTest(TestCase):
     def run_scenario(self, kind, service, scenario, others=()):
         async def main():
-            bad = UnboundedResponseEndpoint("bad", kind)
-            await bad.start()
+            unbounded_endpoint = UnboundedResponseEndpoint("bad", kind)
+            await unbounded_endpoint.start()
             try:
                 async with Harness({service: list(others)}) as harness:
-                    await harness.store.put("servers/bad", bad.entry(service))
+                    await harness.store.put(
+                        "servers/bad", unbounded_endpoint.entry(service)
+                    )
                     await harness.wait_until_current()
-                    return await scenario(harness, bad)
+                    return await scenario(harness, unbounded_endpoint)
             finally:
-                await bad.stop()
+                await unbounded_endpoint.stop()
 
         return asyncio.run(main())
 
     def check_all_kinds(self, path, service):
-        async def measure(harness, bad):
+        async def measure(harness, unbounded_endpoint):
             started = time.monotonic()
             try:
                 status, _, _ = await harness.send_request(f"/{path}/1")
             except aiohttp.ClientPayloadError:
                 status = None
-            return status, time.monotonic() - started, bad.request_count, bad.sent_bytes
+            return (
+                status,
+                time.monotonic() - started,
+                unbounded_endpoint.request_count,
+                unbounded_endpoint.sent_bytes,
+            )
 
         for kind in UNBOUNDED_RESPONSES:
             status, elapsed_s, request_count, sent_bytes = self.run_scenario(
@@ -78,34 +85,40 @@
     def test_request_is_retried_at_another_endpoint(self):
         """Guards against a request that fails with a broken endpoint."""
 
-        async def send_requests(harness, _bad):
+        async def send_requests(harness, _unbounded_endpoint):
             responses = [
                 await harness.send_request(f"/look/{number}") for number in range(6)
             ]
             return [status for status, _, _ in responses]
 
         for kind in UNBOUNDED_RESPONSES:
-            good = EmulatedEndpoint("good", lambda _request: Behaviour(plain_body=True))
-            statuses = self.run_scenario(kind, PLAIN_SERVICE, send_requests, [good])
+            regular_endpoint = EmulatedEndpoint(
+                "good", lambda _request: Behaviour(plain_body=True)
+            )
+            statuses = self.run_scenario(
+                kind, PLAIN_SERVICE, send_requests, [regular_endpoint]
+            )
             self.assertEqual({200}, set(statuses), kind)
 
     def test_unbounded_kv_cache_list_is_aborted(self):
         """Guards against a list of cached prompt parts that exhausts memory."""
 
         async def main():
-            bad = UnboundedResponseEndpoint(
+            unbounded_endpoint = UnboundedResponseEndpoint(
                 "bad", "stream_body", serves_kv_events=False
             )
-            await bad.start()
+            await unbounded_endpoint.start()
             try:
                 async with Harness({}) as harness:
-                    await harness.store.put("servers/bad", bad.entry(ENGINE_SERVICE))
+                    await harness.store.put(
+                        "servers/bad", unbounded_endpoint.entry(ENGINE_SERVICE)
+                    )
                     await harness.wait_until_current()
                     async with asyncio.timeout(ABORT_LIMIT_S):
                         while not kv_events_failed(harness):  # noqa: ASYNC110
                             await asyncio.sleep(0.01)
-                    return bad.sent_bytes
+                    return unbounded_endpoint.sent_bytes
             finally:
-                await bad.stop()
+                await unbounded_endpoint.stop()
 
         self.assertTrue(asyncio.run(main()) < SENT_LIMIT_BYTES)
--- a/borageworks_emulator/slopes_catalog.py
+++ b/borageworks_emulator/slopes_catalog.py
@@ -179,16 +179,16 @@
     api_keys = replica.organisations[name].keys
     started = time.process_time()
     for number in range(TICKET_COUNT):
-        change = Ticket(
+        ticket = Ticket(
             number=len(objects) + 1 + number,
             put=(Organisation(id=name, share=11.0 + number, keys=api_keys),),
         )
-        await apply_ticket(store, CATALOG_PREFIX, change)
+        await apply_ticket(store, CATALOG_PREFIX, ticket)
     ticket_s = (time.process_time() - started) / TICKET_COUNT
 
-    changed = store.values[keys.bucket(bucket_of("organisation", name))]
+    changed_bucket = store.values[keys.bucket(bucket_of("organisation", name))]
     started = time.process_time()
-    merged = replica.merge(Bucket.decode(changed.value, 2, replica.get).objects)
+    merged = replica.merge(Bucket.decode(changed_bucket.value, 2, replica.get).objects)
     change_s = time.process_time() - started
     digest = replica.digest()
     return CatalogSlope(
@@ -202,7 +202,9 @@
         ticket_s=ticket_s,
         ticket_bytes=store.bytes_written / TICKET_COUNT,
         change_s=change_s,
-        push_bytes=len(encode([CatalogObjects(tuple(i.encode() for i in merged))])),
+        push_bytes=len(
+            encode([CatalogObjects(tuple(item.encode() for item in merged))])
+        ),
         digest_bytes=len(encode([CatalogDigest(digest.revision, digest.hashes)])),
         full_bytes=sum(len(item.encode()) for item in objects),
     )
--- a/borageworks_emulator/slopes_fair.py
+++ b/borageworks_emulator/slopes_fair.py
@@ -15,8 +15,10 @@
 
 QUEUE_ORGANISATION_COUNTS = (280, 1_000, 2_800, 28_000)
 AGGREGATOR_ORGANISATION_COUNTS = (280, 1_000, 2_800, 10_000)
-OWNER_COUNT = 22  # of one pool in one failure domain at 800 instances
-ENTRY_INSTANCE_COUNT = 4  # that report demand of one organisation
+# Owners of one pool in one failure domain of a fleet of 800 instances.
+OWNER_COUNT = 22
+# Entry instances that report demand of one organisation.
+ENTRY_INSTANCE_COUNT = 4
 ROUNDS = 20_000
 
 
--- a/borageworks_emulator/slopes_membership.py
+++ b/borageworks_emulator/slopes_membership.py
@@ -22,7 +22,7 @@
 DOMAIN_COUNT = 9
 FLEET_SIZES = (25, 100, 400, 800)
 STEADY_INTERVALS = 30
-# At 400 members, updates of the start are still sent 70 intervals later.
+# At 400 members, updates about the start are still sent 70 intervals later.
 SETTLE_INTERVALS = 100
 TIMEOUT_INTERVALS = 200
 TICKS_PER_INTERVAL = 10
--- a/borageworks_emulator/soak/caller.py
+++ b/borageworks_emulator/soak/caller.py
@@ -56,8 +56,8 @@
 class Caller:
     """Emulated caller that sends requests over persistent connections.
 
-    It keeps using a connection even when the balancer sends new ones to another
-    gateway.
+    It uses a connection until that is closed, even when the balancer sends new ones to
+    another gateway.
 
     Parameters
     ----------
@@ -152,7 +152,7 @@
                         if call.first_bytes_at is None:
                             call.first_bytes_at = loop.time()
                         received += data
-                    self._take_response(call, response, bytes(received))
+                    self._record_response(call, response, bytes(received))
         except aiohttp.ClientConnectorError:
             call.ending = Ending.UNCONNECTED
         except TimeoutError:
@@ -166,7 +166,7 @@
         self._checker.request_ended(call)
         return call
 
-    def _take_response(
+    def _record_response(
         self, call: Call, response: aiohttp.ClientResponse, body: bytes
     ) -> None:
         if response.status in NOT_RUN_STATUSES:
@@ -187,8 +187,8 @@
     def _next_call(self, gateway: str, route: str) -> tuple[Call, dict[str, str]]:
         self._request_count += 1
         profile, rng = self._profile, self._rng
-        stream = route in ("resume", "once")
-        unique, generated = (
+        is_stream = route in ("resume", "once")
+        unique_tokens, generated_tokens = (
             rng.randint(*UNIQUE_PART_TOKENS_RANGE),
             rng.randint(*GENERATED_TOKENS_RANGE),
         )
@@ -199,8 +199,10 @@
             route=route,
             organisation="" if route == "open" else profile.organisation,
             gateway=gateway,
-            tokens=SHARED_PART_TOKENS + unique + 2 * generated if stream else 0,
-            events=event_count(generated) if stream else 0,
+            tokens=SHARED_PART_TOKENS + unique_tokens + 2 * generated_tokens
+            if is_stream
+            else 0,
+            events=event_count(generated_tokens) if is_stream else 0,
             sent_at=asyncio.get_running_loop().time(),
         )
         headers = {
@@ -210,13 +212,13 @@
         }
         if route != "open":
             headers["Authorization"] = f"Token {profile.key}"
-        if stream:
+        if is_stream:
             headers["X-Borageworks-Model"] = "m"
             headers["X-Borageworks-Token-Count"] = (
-                f"{SHARED_PART_TOKENS + unique},{generated}"
+                f"{SHARED_PART_TOKENS + unique_tokens},{generated_tokens}"
             )
             headers["X-Borageworks-Prompt-Prefix"] = (
-                f"aa{shared_part:02x}:{SHARED_PART_TOKENS},{abs(hash(request_id)):x}:{unique}"
+                f"aa{shared_part:02x}:{SHARED_PART_TOKENS},{abs(hash(request_id)):x}:{unique_tokens}"
             )
         return call, headers
 
--- a/borageworks_emulator/soak/endpoints.py
+++ b/borageworks_emulator/soak/endpoints.py
@@ -78,11 +78,13 @@
                 response_delay_s=PLAIN_RESPONSE_TIME_S,
             )
             return self.misbehaviour(plain)
-        generated = int(request.headers["X-Borageworks-Token-Count"].split(",")[1])
+        generated_tokens = int(
+            request.headers["X-Borageworks-Token-Count"].split(",")[1]
+        )
         return self.misbehaviour(
             Behaviour(
                 with_request_id=True,
-                events=event_count(generated),
+                events=event_count(generated_tokens),
                 event_interval_s=EVENT_INTERVAL_S,
                 response_delay_s=self._prefill_delay_s(
                     request.headers["X-Borageworks-Prompt-Prefix"]
--- a/borageworks_emulator/soak/fairness.py
+++ b/borageworks_emulator/soak/fairness.py
@@ -79,5 +79,5 @@
 def _delayed_or_refused(call: Call) -> bool:
     if call.ending is Ending.REFUSED:
         return True
-    first = call.first_bytes_at
-    return first is None or first > call.sent_at + TARGET_LATENCY_S
+    first_bytes_at = call.first_bytes_at
+    return first_bytes_at is None or first_bytes_at > call.sent_at + TARGET_LATENCY_S
--- a/borageworks_emulator/soak/fault_planner.py
+++ b/borageworks_emulator/soak/fault_planner.py
@@ -98,12 +98,12 @@
         for _ in range(max(int(duration_s / SERIES_INTERVAL_S), 1)):
             at_s = rng.uniform(0.0, duration_s)
             weights = [weight for weight, _ in self._factories]
-            factory = rng.choices([make for _, make in self._factories], weights)[0]
+            factory = rng.choices([item for _, item in self._factories], weights)[0]
             for _ in range(rng.randint(*FAULTS_PER_SERIES_RANGE)):
                 if at_s < duration_s:
                     planned.append(PlannedFault(at_s, factory()))
                 at_s += rng.uniform(*FAULT_INTERVAL_RANGE_S)
-        return sorted(planned, key=lambda item: item.at_s)
+        return sorted(planned, key=lambda fault: fault.at_s)
 
     def _duration_s(self) -> float:
         return self._rng.uniform(*FAULT_DURATION_RANGE_S)
@@ -134,19 +134,27 @@
 
     def _cut_domain(self) -> Fault:
         domain = self._rng.choice(sorted(set(self._domains.values())))
-        inside = tuple(name for name, other in self._domains.items() if other == domain)
-        outside = tuple(name for name in self._gateways if name not in inside)
+        domain_gateways = tuple(
+            name
+            for name, gateway_domain in self._domains.items()
+            if gateway_domain == domain
+        )
+        other_gateways = tuple(
+            name for name in self._gateways if name not in domain_gateways
+        )
         store = (STORE,) if self._rng.random() < 0.5 else ()
-        return HarmPaths(inside, (*outside, *store), CUT, self._duration_s())
+        return HarmPaths(
+            domain_gateways, (*other_gateways, *store), CUT, self._duration_s()
+        )
 
     def _cut_store(self) -> Fault:
         return HarmPaths(self._few_gateways(), (STORE,), CUT, self._duration_s())
 
     def _cut_one_way(self) -> Fault:
-        sent = self._rng.random() < 0.5
-        one_way = Conditions(lose_sent=sent, lose_received=not sent)
+        lose_sent = self._rng.random() < 0.5
+        conditions = Conditions(lose_sent=lose_sent, lose_received=not lose_sent)
         return HarmPaths(
-            self._few_gateways(), self._any_targets(), one_way, self._duration_s()
+            self._few_gateways(), self._any_targets(), conditions, self._duration_s()
         )
 
     def _cut_endpoint(self) -> Fault:
@@ -154,9 +162,9 @@
         return HarmPaths(self._few_gateways(), targets, CUT, self._duration_s())
 
     def _delay(self) -> Fault:
-        delayed = Conditions(delay_s=self._rng.uniform(*PATH_DELAY_RANGE_S))
+        conditions = Conditions(delay_s=self._rng.uniform(*PATH_DELAY_RANGE_S))
         return HarmPaths(
-            self._few_gateways(), self._any_targets(), delayed, self._duration_s()
+            self._few_gateways(), self._any_targets(), conditions, self._duration_s()
         )
 
     def _impair_store(self) -> Fault:
--- a/borageworks_emulator/soak/guarantee_checker.py
+++ b/borageworks_emulator/soak/guarantee_checker.py
@@ -25,8 +25,8 @@
 PROBE_PREFIX = "probe-"
 # Statuses that guarantee that a request has not run and will not run.
 NOT_RUN_STATUSES = frozenset((408, 421, 429, 503))
-# Later than this fraction of the grace period, the exit of the process may cut
-# requests that endpoints are still running.
+# Requests that end after this fraction of the grace period are not checked, because the
+# exit of the process may cut requests that endpoints are still running.
 CHECKED_GRACE_RATIO = 5 / 6
 
 
--- a/borageworks_emulator/soak/runner.py
+++ b/borageworks_emulator/soak/runner.py
@@ -154,16 +154,20 @@
                     await asyncio.sleep(POLL_INTERVAL_S)
 
     async def _open_paths(self, name: str, gateway: GatewayProcess) -> None:
-        view = await self._store.open_view(
+        view_address = await self._store.open_view(
             lambda key, value: self._replace_addresses(name, key, value)
         )
-        address = await self._network.open(name, STORE, STORE, lambda: view)
+        address = await self._network.open(name, STORE, STORE, lambda: view_address)
         gateway.write_settings(address)
-        for other, process in self._gateways.items():
-            if other != name:
-                _, _, relay, peer = process.ports
-                await self._network.open(name, other, PEER, _loopback_address(peer))
-                await self._network.open(name, other, RELAY, _loopback_address(relay))
+        for other_name, process in self._gateways.items():
+            if other_name != name:
+                _, _, relay_port, peer_port = process.ports
+                await self._network.open(
+                    name, other_name, PEER, _loopback_address(peer_port)
+                )
+                await self._network.open(
+                    name, other_name, RELAY, _loopback_address(relay_port)
+                )
         for path, endpoint in zip(self._paths, self._endpoints, strict=True):
             await self._network.open(name, path, SERVICE, _endpoint_address(endpoint))
 
@@ -171,16 +175,23 @@
         """Replace addresses in a value of the store by those of the reader's paths."""
         kind, _, name = key.rpartition("/")
         path = name.split(".")[0]
-        service = self._network.address(reader, path, SERVICE)
-        if kind == "servers" and service is not None:
+        service_address = self._network.address(reader, path, SERVICE)
+        if kind == "servers" and service_address is not None:
             entry = orjson.loads(value)
-            entry["address"] = f"{service[0]}:{service[1]}"
+            entry["address"] = f"{service_address[0]}:{service_address[1]}"
             return orjson.dumps(entry)
-        peer = self._network.address(reader, name, PEER)
-        relay = self._network.address(reader, name, RELAY)
-        if kind.endswith("/instances") and peer is not None and relay is not None:
+        peer_address = self._network.address(reader, name, PEER)
+        relay_address = self._network.address(reader, name, RELAY)
+        if (
+            kind.endswith("/instances")
+            and peer_address is not None
+            and relay_address is not None
+        ):
             record = orjson.loads(value)
-            record["peer_port"], record["relay_port"] = peer[1], relay[1]
+            record["peer_port"], record["relay_port"] = (
+                peer_address[1],
+                relay_address[1],
+            )
             return orjson.dumps(record)
         return value
 
@@ -260,8 +271,8 @@
         underserved = underserved_organisations(
             self._checker.calls, self._has_run, since, self._clock()
         )
-        for line in underserved:
-            self._checker.report(Guarantee.FAIRNESS, line)
+        for finding in underserved:
+            self._checker.report(Guarantee.FAIRNESS, finding)
 
     def _has_run(self, call: Call) -> bool:
         return self._checker.run_count(call) > 0
--- a/borageworks_emulator/tests/test_engine.py
+++ b/borageworks_emulator/tests/test_engine.py
@@ -102,19 +102,19 @@
     def test_resume_sends_the_rest_from_any_byte(self):
         """Guards against lost or repeated bytes when a stream is resumed."""
         body = _chat("resume answer_tokens=6", stream=True)
-        whole = expected_content(body)
+        content = expected_content(body)
 
         async def case(engine, session):
             return [
                 _stream_content(
                     (await _post(session, body, **{"Resume-Offset": str(offset)}))[1]
                 )
-                for offset in range(len(whole) + 1)
+                for offset in range(len(content) + 1)
             ]
 
         remainders = _run_with_engine(case)
         self.assertEqual(
-            [whole[offset:] for offset in range(len(whole) + 1)], remainders
+            [content[offset:] for offset in range(len(content) + 1)], remainders
         )
 
     def test_batch_limit_makes_requests_wait_in_arrival_order(self):
@@ -182,16 +182,16 @@
             engine.faults.crash_marker = b"poison"
             engine.faults.down_s = 0.05
             before = engine.incarnation
-            victim = asyncio.create_task(
+            running_request = asyncio.create_task(
                 _post(session, _chat("long answer_tokens=50", stream=True))
             )
             await wait_until(lambda: engine.running)
             results = await asyncio.gather(
-                victim, _post(session, _chat("poison")), return_exceptions=True
+                running_request, _post(session, _chat("poison")), return_exceptions=True
             )
             await wait_until(lambda: not engine.down)
-            again = await _post(session, _chat("fine answer_tokens=2"))
-            return results, before, engine.incarnation, again[0].status, engine
+            later_response = await _post(session, _chat("fine answer_tokens=2"))
+            return results, before, engine.incarnation, later_response[0].status, engine
 
         results, before, after, status, engine = _run_with_engine(
             case, EngineProfile(base_ms=20.0)
--- a/borageworks_emulator/tests/test_fleet.py
+++ b/borageworks_emulator/tests/test_fleet.py
@@ -36,13 +36,22 @@
         settings = router_settings(PATITSA, 6, "http://127.0.0.1:1")
         pairs = [
             address.host_port
-            for each in settings
-            for address in (each.listen, each.gossip, each.peer)
+            for instance_settings in settings
+            for address in (
+                instance_settings.listen,
+                instance_settings.gossip,
+                instance_settings.peer,
+            )
         ]
         self.assertEqual(18, len(set(pairs)))
-        self.assertEqual(3, len({each.domain for each in settings}))
-        for each in settings:
-            self.assertEqual(each, Settings.model_validate_json(each.model_dump_json()))
+        self.assertEqual(
+            3, len({instance_settings.domain for instance_settings in settings})
+        )
+        for instance_settings in settings:
+            self.assertEqual(
+                instance_settings,
+                Settings.model_validate_json(instance_settings.model_dump_json()),
+            )
 
     def test_first_ticket_is_complete(self):
         """Guards against a ticket whose objects refer to missing objects."""
@@ -146,7 +155,7 @@
 
 
 class ProcessTest(testtools.TestCase):
-    def test_end_kills_a_process_stopped_by_a_signal(self):
+    def test_kill_ends_a_process_stopped_by_a_signal(self):
         """Guards against router processes that keep running after a measurement."""
 
         async def main(directory):
--- a/borageworks_emulator/tests/test_report.py
+++ b/borageworks_emulator/tests/test_report.py
@@ -57,7 +57,7 @@
         self.assertIn("unknown", self.result().table({"a": 1.0}))
 
 
-class ExcuseTest(testtools.TestCase):
+class ExcusedCallsTest(testtools.TestCase):
     def test_only_calls_that_the_killed_router_broke_are_excused(self):
         """Guards against a router kill that hides failures of other routers."""
         calls = [
