--- a/borageworks/claims/key.py
+++ b/borageworks/claims/key.py
@@ -13,7 +13,7 @@
     IdempotencyKeyMalformedError,
 )
 
-KEY_CHARACTERS_MAX = 255
+MAX_KEY_CHARACTERS = 255
 KEY_HASH_BYTES = 16
 BODY_HASH_BYTES = 8
 UUID_VERSION = 7
@@ -48,9 +48,9 @@
             The key has another format, is longer than 255 characters or contains
             characters other than visible ASCII.
         """
-        if len(text) > KEY_CHARACTERS_MAX:
+        if len(text) > MAX_KEY_CHARACTERS:
             raise IdempotencyKeyMalformedError(
-                f"Idempotency-Key is longer than {KEY_CHARACTERS_MAX} characters"
+                f"Idempotency-Key is longer than {MAX_KEY_CHARACTERS} characters"
             )
         if not _VISIBLE_ASCII.fullmatch(text):
             raise IdempotencyKeyMalformedError(
--- a/borageworks/claims/service.py
+++ b/borageworks/claims/service.py
@@ -21,7 +21,7 @@
 from borageworks.claims.content import ShardContent
 from borageworks.claims.holder import Holder
 from borageworks.claims.key import BODY_HASH_BYTES, KEY_HASH_BYTES, IdempotencyKey
-from borageworks.claims.segment import HOLDER_BYTES_MAX
+from borageworks.claims.segment import MAX_HOLDER_BYTES
 from borageworks.claims.shard import ClaimShard
 from borageworks.claims.sharding import shard_of, shard_writer
 from borageworks.claims.timestamp import Timestamp
@@ -56,7 +56,7 @@
 # segments back takes another.
 STORE_TIMEOUTS_PER_CLAIM = 2
 SHARD_CLEANUP_INTERVAL_S = 10.0
-ABANDONED_CLAIMS_MAX = 10_000
+MAX_ABANDONED_CLAIMS = 10_000
 
 
 class ClaimService:
@@ -272,7 +272,7 @@
     def _abandon(self, claim: Claim) -> None:
         """Keep a claim that failed but may still be recorded, so it can be released."""
         self._abandoned[claim.request_id] = claim
-        if len(self._abandoned) > ABANDONED_CLAIMS_MAX:
+        if len(self._abandoned) > MAX_ABANDONED_CLAIMS:
             self._abandoned.popitem(last=False)
 
     def _send_finish(self, key_hash: bytes, state: ClaimState) -> None:
@@ -307,7 +307,7 @@
             raise MessageMalformedError(
                 f"claim names holder {claim.holder!r} but was sent by {sender!r}"
             )
-        if len(claim.holder.encode()) > HOLDER_BYTES_MAX:
+        if len(claim.holder.encode()) > MAX_HOLDER_BYTES:
             raise MessageMalformedError("holder id of a claim is too long")
         timestamp = self._timestamp()
         request = ClaimRequest(
--- a/borageworks/claims/shard.py
+++ b/borageworks/claims/shard.py
@@ -28,7 +28,7 @@
 # For this long after a store failure, claims get an immediate reply without a store
 # call, so that each shard makes at most two calls per second to a failing store.
 STORE_RETRY_DELAY_S = 0.5
-PENDING_CHANGES_MAX = 4096
+MAX_PENDING_CHANGES = 4096
 # The store allows 128 operations in one transaction.
 EXPIRED_SEGMENTS_PER_COMMIT = 64
 
@@ -125,7 +125,7 @@
         if not self._pending_changes:
             self._first_change_time = timestamp.monotonic
         self._pending_changes.setdefault(key_hash, (sender, state))
-        while len(self._pending_changes) > PENDING_CHANGES_MAX:
+        while len(self._pending_changes) > MAX_PENDING_CHANGES:
             # The record stays CLAIMED; at worst its outcome is reported as unknown.
             del self._pending_changes[next(iter(self._pending_changes))]
         return self._advance(timestamp)
