--- a/borageworks/catalog/sync.py
+++ b/borageworks/catalog/sync.py
@@ -66,8 +66,8 @@
 # whenever digests differ, so their number is limited to one message.
 RECENT_CHANGES = MESSAGE_LIMIT_OBJECTS
 
-RETRY_INITIAL_S = 1.0
-RETRY_MAX_S = 30.0
+INITIAL_RETRY_S = 1.0
+MAX_RETRY_S = 30.0
 
 # A pull times out after PULL_TIMEOUT_S plus PULL_TIMEOUT_PER_BUCKET_S per bucket. Until
 # then, none of its buckets is pulled again, from any peer.
@@ -77,7 +77,7 @@
 # Exchanges wait until pushes have arrived, but not indefinitely under a steady stream
 # of tickets.
 SETTLE_DELAY_S = 0.5
-SETTLE_MAX_S = 2.0
+MAX_SETTLE_S = 2.0
 
 
 class CatalogSync:
@@ -365,7 +365,7 @@
         if (
             complete
             and now - self._last_change_at < SETTLE_DELAY_S
-            and now - self._last_exchange_at < SETTLE_MAX_S
+            and now - self._last_exchange_at < MAX_SETTLE_S
         ):
             return
         members = [
@@ -422,7 +422,7 @@
 
         It may also come from a peer, which ends the retries.
         """
-        delay = RETRY_INITIAL_S
+        delay = INITIAL_RETRY_S
         while not self._replica.revision:
             try:
                 await self._follower.load()
@@ -431,7 +431,7 @@
 
     async def _watch(self) -> None:
         """Follow the configuration head in the store."""
-        delay = RETRY_INITIAL_S
+        delay = INITIAL_RETRY_S
         while True:
             started_at = self._timers.now()
             try:
@@ -441,8 +441,8 @@
                 StoreReplyMalformedError,
                 StoreCompactedError,
             ) as error:
-                if self._timers.now() - started_at > RETRY_MAX_S:
-                    delay = RETRY_INITIAL_S
+                if self._timers.now() - started_at > MAX_RETRY_S:
+                    delay = INITIAL_RETRY_S
                 delay = await self._back_off(delay, error)
 
     async def _back_off(
@@ -455,7 +455,7 @@
         self._metrics.count("catalog_store_failures", error.code)
         emit(Event.CATALOG_BEHIND, code=error.code, detail=str(error))
         await asyncio.sleep(self._rng.uniform(delay / 2, delay))
-        return min(2 * delay, RETRY_MAX_S)
+        return min(2 * delay, MAX_RETRY_S)
 
     def _spawn(self, work: Coroutine[None, None, None]) -> asyncio.Task[None]:
         task = asyncio.get_running_loop().create_task(work)
--- a/borageworks/catalog/tests/test_etcd.py
+++ b/borageworks/catalog/tests/test_etcd.py
@@ -70,7 +70,7 @@
     def test_watcher_recovers_from_broken_watches_and_compaction(self):
         """Guards against watch errors that the synchroniser does not handle."""
         self.patch(sync_module, "ROLE_INTERVAL_S", 0.05)
-        self.patch(sync_module, "RETRY_INITIAL_S", 0.05)
+        self.patch(sync_module, "INITIAL_RETRY_S", 0.05)
 
         async def scenario():
             async with connected() as (emulated, store):
