--- a/borageworks/wire/messages.py
+++ b/borageworks/wire/messages.py
@@ -310,8 +310,9 @@
 class PlaceRequest:
     """Requests an endpoint from the instance that places requests of the service.
 
-    `aim_s` is the target latency and `patience_s` the remaining time. The fields after
-    `prompt` describe a prompt only if it is true.
+    `aim_s` is the time left of the target latency and `patience_s` the maximum wait for
+    an endpoint, both in seconds from now. The fields after `prompt` describe a prompt
+    only if it is true.
     """
 
     number: int
@@ -392,9 +393,9 @@
 class ReplicaNews:
     """Changes of the platform's store, for an instance that does not read it itself.
 
-    They update a copy from revision `after` to `revision`. `lapse_grace_s` is the grace
-    period in which endpoints are still used after their entry was deleted; `age_s` is
-    the time since the store confirmed `revision`.
+    They update a replica from revision `after` to `revision`. `lapse_grace_s` is the
+    grace period in which endpoints are still used after their entry was deleted;
+    `age_s` is the time since the store confirmed `revision`.
     """
 
     after: int
