--- a/borageworks/platform/engine_cache.py
+++ b/borageworks/platform/engine_cache.py
@@ -39,7 +39,7 @@
         )
     except (ValueError, KeyError, IndexError, TypeError) as error:
         raise EndpointReplyMalformedError(
-            f"malformed engine memory events: {error!r}"
+            f"malformed cache events of an engine: {error!r}"
         ) from error
 
 
@@ -56,5 +56,5 @@
         )
     except (ValueError, KeyError, IndexError, TypeError) as error:
         raise EndpointReplyMalformedError(
-            f"malformed engine memory list: {error!r}"
+            f"malformed cache list of an engine: {error!r}"
         ) from error
