--- a/borageworks/router/service_exchange.py
+++ b/borageworks/router/service_exchange.py
@@ -66,7 +66,7 @@
         Sends a message to any instance, including this one.
     members
         Returns the live, reachable members.
-    wall_clock
+    unix_time
         Returns Unix time in seconds.
     """
 
@@ -80,7 +80,7 @@
         metrics: Metrics,
         send: Send,
         members: Callable[[], Sequence[Member]],
-        wall_clock: Callable[[], float] = time.time,
+        unix_time: Callable[[], float] = time.time,
     ) -> None:
         self._settings = settings
         self._incarnation = incarnation
@@ -90,7 +90,7 @@
         self._metrics = metrics
         self._send = send
         self._members = members
-        self._wall_clock = wall_clock
+        self._unix_time = unix_time
         self._pools: dict[str, _PoolState] = {}
         self._aggregators: dict[str, Aggregator] = {}
         self._peers: dict[str, set[str]] = {}
@@ -123,7 +123,7 @@
     def _schedule(self, phase_ratio: float, action: Callable[[float], None]) -> None:
         """Call `action` at its phase of each exchange interval, by wall clock."""
         interval = self._settings.fair.exchange_interval_s
-        delay = (phase_ratio * interval - self._wall_clock()) % interval
+        delay = (phase_ratio * interval - self._unix_time()) % interval
 
         def run(now: float) -> None:
             self._schedule(phase_ratio, action)
